--- a/crates/consensus/src/effects.rs
+++ b/crates/consensus/src/effects.rs
@@ -1,69 +1,69 @@
-//! What the driver has to carry out after feeding the core.
+//! The work that the core hands to the driver.
 
 use crate::{Envelope, LogEntry, LogIndex, ReplicaId, SnapshotImage, Term};
 use serde::{Deserialize, Serialize};
 
-/// What must be durable besides the log.
+/// Raft state that must be durable in addition to the log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The current term.
     pub term: Term,
-    /// The candidate voted for in that term.
+    /// The candidate that received this replica's vote in that term.
     pub voted_for: Option<ReplicaId>,
 }
 
-/// What a replica finds on its disk at its start.
+/// The durable state from which a replica starts.
 #[derive(Debug, Clone, Default)]
 pub struct Restored {
     /// Term and vote.
     pub hard_state: HardState,
     /// The latest snapshot.
     pub image: Option<SnapshotImage>,
-    /// The log, which may begin before the snapshot's end.
+    /// The log, which may begin before the end of the snapshot.
     pub entries: Vec<LogEntry>,
 }
 
-/// Identifies a read that waits for its quorum round.
+/// Identifies a linearizable read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReadToken(pub u64);
 
-/// A read whose quorum round is done.
+/// A read whose quorum round is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadyRead {
     /// The read.
     pub token: ReadToken,
-    /// What must be applied before it is served.
+    /// The index that must be applied before the read is served.
     pub index: LogIndex,
 }
 
-/// The work that one batch of inputs causes.
+/// The work that results from one batch of inputs.
 ///
-/// Order: send `early_messages`; make `install`, `hard_state`, `truncate_from` and `entries`
-/// durable; then send `messages`, call `Consensus::persisted`, and apply `committed`.
+/// The driver first sends `early_messages`, then makes `install`, `hard_state`, `truncate_from` and
+/// `entries` durable, then sends `messages`, calls `Consensus::persisted` and applies `committed`.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Messages that depend on nothing in this batch being durable.
+    /// Messages that may be sent before anything in this batch is durable.
     pub early_messages: Vec<Envelope>,
     /// A snapshot that replaces the whole log and state.
     pub install: Option<SnapshotImage>,
-    /// New term or vote.
+    /// The term and vote, if either changed.
     pub hard_state: Option<HardState>,
-    /// Entries from here on are dropped before `entries` are appended.
+    /// Entries from this index on are removed before `entries` are appended.
     pub truncate_from: Option<LogIndex>,
     /// Entries to append.
     pub entries: Vec<LogEntry>,
-    /// Messages that may leave once all the above is durable.
+    /// Messages that may be sent only after all of the above is durable.
     pub messages: Vec<Envelope>,
     /// Entries to apply, in order.
     pub committed: Vec<LogEntry>,
-    /// Reads whose round is done.
+    /// Reads whose quorum round is complete.
     pub reads: Vec<ReadyRead>,
-    /// Reads that can no longer be served here.
+    /// Reads that cannot be served because this replica no longer leads.
     pub failed_reads: Vec<ReadToken>,
 }
 
 impl Effects {
-    /// Says whether something must be made durable.
+    /// Returns whether something must be made durable.
     pub fn needs_sync(&self) -> bool {
         self.hard_state.is_some()
             || self.truncate_from.is_some()
@@ -71,7 +71,7 @@
             || self.install.is_some()
     }
 
-    /// Says whether there is nothing to do.
+    /// Returns whether there is nothing to do.
     pub fn is_empty(&self) -> bool {
         !self.needs_sync()
             && self.early_messages.is_empty()
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,29 +1,29 @@
-//! The replicated log in memory, from the last snapshot on.
+//! The replicated log in memory, without the entries that were compacted away.
 
 use crate::Membership;
 use serde::{Deserialize, Serialize};
 use std::{fmt, sync::Arc};
 use types::{Command, LogTime};
 
-/// The number of an election.
+/// Raft term. Each election starts a new one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Term(pub u64);
 
-/// The place of an entry in the log, counted from 1; 0 is before the first.
+/// Index of an entry in the log, counted from 1; 0 precedes the first entry.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// Returns the index that follows.
+    /// Returns the following index.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// Returns the index before this one, or 0.
+    /// Returns the preceding index, or 0 for index 0.
     pub fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
@@ -35,46 +35,47 @@
     }
 }
 
-/// What an entry of the log carries.
+/// Content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogPayload {
-    /// Nothing; the first entry of each leader.
+    /// No operation. Each leader begins its term with such an entry.
     Noop,
     /// A command for the state machine.
     Command(Command),
-    /// A new set of replicas, in force as soon as it is in the log.
+    /// A new membership, effective as soon as it is in the log.
     Membership(Membership),
 }
 
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The term of the leader that made the entry.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// Place in the log.
+    /// Index in the log.
     pub index: LogIndex,
-    /// Time stamped by the leader; never falls along the log.
+    /// Timestamp from the leader; never decreases along the log.
     pub time: LogTime,
     /// Content.
     pub payload: LogPayload,
 }
 
-/// The state up to an index, in place of the log.
+/// A snapshot, which replaces the log up to an index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotImage {
-    /// The last entry that is included.
+    /// Index of the last entry that is included.
     pub index: LogIndex,
-    /// The term of that entry.
+    /// Term of that entry.
     pub term: Term,
-    /// The time of that entry.
+    /// Timestamp of that entry.
     pub time: LogTime,
-    /// The replicas as of that entry.
+    /// Membership as of that entry.
     pub membership: Membership,
-    /// The encoded state machine.
+    /// Encoded state of the state machine.
     pub state: Arc<[u8]>,
 }
 
-/// Entries after `base`, with the snapshot they build on.
+/// The log entries after `base_index`, the last entry that was compacted away or replaced by a
+/// snapshot.
 #[derive(Debug, Default)]
 pub(crate) struct MemoryLog {
     base_index: LogIndex,
@@ -89,7 +90,8 @@
         if let Some(image) = base {
             log.reset(image);
         }
-        // A log that was written before its snapshot may begin below or above the snapshot's end.
+        // A log that was written before the snapshot may begin before or after the snapshot's end.
+        // If entries are missing in between, none of the log is used.
         if let Some(first) = entries.first()
             && first.index <= log.base_index.next()
             && first.index.0 > 0
@@ -123,7 +125,8 @@
         self.entries.last().map_or(self.base_time, |entry| entry.time)
     }
 
-    /// Returns the term of an entry, `None` if the index is compacted away or not reached.
+    /// Returns the term of an entry, or `None` if it is compacted away or beyond the end of the
+    /// log.
     pub(crate) fn term(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -136,7 +139,7 @@
         self.entries.get(offset as usize)
     }
 
-    /// Returns at most `limit` entries from `first` on.
+    /// Returns at most `limit` entries, starting at `first`; none if `first` is compacted away.
     pub(crate) fn slice(&self, first: LogIndex, limit: usize) -> &[LogEntry] {
         let Some(offset) = first.0.checked_sub(self.base_index.0 + 1) else {
             return &[];
@@ -150,13 +153,13 @@
         self.entries.push(entry);
     }
 
-    /// Drops all entries from `first` on.
+    /// Removes all entries from `first` on.
     pub(crate) fn truncate(&mut self, first: LogIndex) {
         let kept = first.0.saturating_sub(self.base_index.0 + 1);
         self.entries.truncate(kept as usize);
     }
 
-    /// Drops the entries up to `index`, which a snapshot covers.
+    /// Removes the entries up to `index`, which a snapshot covers.
     pub(crate) fn compact(&mut self, index: LogIndex) {
         let Some(entry) = self.get(index) else {
             return;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -3,14 +3,16 @@
 use crate::{LogEntry, LogIndex, ReplicaId, SnapshotImage, Term};
 use serde::{Deserialize, Serialize};
 
-/// A message with its ends. A replica drops what is not addressed to its own identity.
+/// A message with its sender and receiver. A replica drops messages that are addressed to another
+/// identity.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Sender.
     pub from: ReplicaId,
     /// Receiver.
     pub to: ReplicaId,
-    /// The sender's term, or the term it would stand in for a pre-vote.
+    /// The sender's term; in a pre-vote and an answer that grants it, the term of the election that
+    /// would follow.
     pub term: Term,
     /// Content.
     pub message: Message,
@@ -19,61 +21,62 @@
 /// The content of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether a vote would be granted.
+    /// Asks whether the receiver would grant its vote.
     PreVote {
-        /// The last entry of the sender.
+        /// Index of the last entry in the sender's log.
         last_index: LogIndex,
-        /// Its term.
+        /// Term of that entry.
         last_term: Term,
     },
-    /// Answers a pre-vote.
+    /// Answers `PreVote`.
     PreVoteAnswer {
         /// Whether a vote would be granted.
         granted: bool,
     },
     /// Asks for a vote.
     Vote {
-        /// The last entry of the sender.
+        /// Index of the last entry in the sender's log.
         last_index: LogIndex,
-        /// Its term.
+        /// Term of that entry.
         last_term: Term,
-        /// The leader itself asked the sender to take over.
+        /// Whether the leader asked the sender to take over with `TimeoutNow`.
         transfer: bool,
     },
-    /// Answers a vote.
+    /// Answers `Vote`.
     VoteAnswer {
         /// Whether the vote is granted.
         granted: bool,
     },
     /// Appends entries; without entries, a heartbeat.
     Append {
-        /// The entry before the first one sent.
+        /// Index of the entry that precedes `entries`.
         prev_index: LogIndex,
-        /// Its term.
+        /// Term of that entry.
         prev_term: Term,
-        /// The entries.
+        /// Consecutive entries that follow `prev_index`.
         entries: Vec<LogEntry>,
-        /// What the leader has committed.
+        /// The leader's commit index.
         commit: LogIndex,
-        /// The latest read round that began before this message.
+        /// The latest quorum round that was started before this message was sent.
         round: u64,
     },
-    /// Replaces the receiver's log by a snapshot.
+    /// Replaces the receiver's log with a snapshot.
     Install {
         /// The snapshot.
         image: SnapshotImage,
-        /// The latest read round that began before this message.
+        /// The latest quorum round that was started before this message was sent.
         round: u64,
     },
-    /// Answers an append or a snapshot.
+    /// Answers `Append` or `Install`.
     AppendAnswer {
-        /// The receiver's log equals the leader's up to here, if accepted; else where to go on.
+        /// If accepted, the receiver's log equals the leader's up to this index; otherwise, the
+        /// leader continues after this index.
         index: LogIndex,
         /// Whether the entries were accepted.
         accepted: bool,
-        /// The read round of the message that is answered.
+        /// The quorum round of the message being answered.
         round: u64,
     },
-    /// Asks the receiver to stand for election at once.
+    /// Asks the receiver to start an election immediately.
     TimeoutNow,
 }
