--- a/crates/consensus/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -1,4 +1,4 @@
-//! The replica's state, and the paths that all roles share.
+//! The state of a replica, and the message handling that all roles share.
 
 use crate::{
     Effects, Envelope, HardState, LogEntry, LogIndex, LogPayload, Membership, Message, ReplicaId,
@@ -8,27 +8,29 @@
 use thiserror::Error;
 use types::LogTime;
 
-/// The greatest rank of a first stand, in ticks; with two voters lost, as many as are borne at once,
-/// the third stands before the next stand of those that came before it.
-const MAX_FIRST_RANK: u32 = 3;
+/// Upper bound of the startup rank, in ticks. With two voters lost, the most that are tolerated at
+/// once, the third voter starts its first election before the voters ahead of it start their next.
+const MAX_STARTUP_RANK: u32 = 3;
 
-/// Timing of the core, in ticks.
+/// Settings of the core. One tick is one call of [`Consensus::tick`].
 #[derive(Debug, Clone)]
 pub struct CoreSettings {
-    /// Ticks between heartbeats of a leader.
+    /// Ticks between the heartbeats of a leader.
     pub heartbeat_ticks: u32,
-    /// Ticks without a leader after which a follower stands; it adds a random share up to as much
-    /// again. Also the time within which a leader must hear a quorum.
+    /// Election timeout in ticks. A follower adds a random number of ticks from 0 to this value. A
+    /// leader that does not hear from a quorum within this time steps down.
     pub election_ticks: u32,
-    /// The same at the first time since the start of this replica; one tick more each time until
-    /// it has heard of a leader, since messages may take longer than that. A pre-vote keeps it from
-    /// disturbing a leader that lives.
-    pub first_election_ticks: u32,
-    /// The least of that after a vote: the candidate needs syncs and messages of its own to lead.
-    pub vote_ticks: u32,
-    /// The greatest number of entries in one message.
-    pub max_batch: usize,
-    /// Seed of the random share.
+    /// Initial election timeout in ticks, used from startup until this replica hears from a leader.
+    /// Each pre-vote and each election lengthens it by one tick, up to `election_ticks`, since
+    /// messages may take longer than the initial value. The pre-vote keeps a replica with such a
+    /// short timeout from deposing a live leader.
+    pub startup_election_ticks: u32,
+    /// Lower bound, in ticks, of the startup timeout after this replica grants a vote. The
+    /// candidate has to sync its log and exchange messages before it leads.
+    pub post_vote_ticks: u32,
+    /// Maximum number of entries in one message.
+    pub max_batch_entries: usize,
+    /// Seed of the random part of election timeouts.
     pub seed: u64,
 }
 
@@ -37,46 +39,46 @@
         Self {
             heartbeat_ticks: 2,
             election_ticks: 10,
-            first_election_ticks: 1,
-            vote_ticks: 3,
-            max_batch: 2048,
+            startup_election_ticks: 1,
+            post_vote_ticks: 3,
+            max_batch_entries: 2048,
             seed: 0,
         }
     }
 }
 
-/// Where the leader is believed to be.
+/// The last known leader of the current term, if any.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderHint(pub Option<ReplicaId>);
 
-/// Says why the core refuses an input.
+/// Reason why the core refuses an input.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConsensusError {
-    /// This replica does not lead.
-    #[error("this replica does not lead")]
+    /// This replica is not the leader.
+    #[error("this replica is not the leader")]
     NotLeader(LeaderHint),
-    /// The set of replicas cannot be changed so.
+    /// The membership change is not possible.
     #[error(transparent)]
     Membership(#[from] crate::MembershipError),
 }
 
-/// What a replica does at present.
+/// The current role of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaRole {
-    /// Follows a leader, or waits for one.
+    /// Replicates the log of a leader, or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks the other voters whether they would vote for it.
     PreCandidate,
-    /// Asks for votes.
+    /// Asks the other voters for their votes.
     Candidate,
-    /// Leads.
+    /// Appends to the log and replicates it to the followers.
     Leader,
 }
 
-/// One replica of the replicated log.
+/// The Raft state machine of one replica.
 ///
-/// Invariants: the term never falls; at most one vote is cast a term; committed entries are never
-/// changed; the commit index never falls.
+/// Invariants: the term and the commit index never decrease; at most one vote is cast per term;
+/// committed entries never change.
 pub struct Consensus {
     pub(crate) id: ReplicaId,
     pub(crate) settings: CoreSettings,
@@ -85,20 +87,27 @@
     pub(crate) leader: Option<ReplicaId>,
     pub(crate) log: MemoryLog,
     pub(crate) image: Option<SnapshotImage>,
+    /// Memberships of the snapshot and of the log, each with the index from which it is effective.
     pub(crate) memberships: Vec<(LogIndex, Membership)>,
     pub(crate) commit: LogIndex,
-    pub(crate) handed_out: LogIndex,
+    /// Last entry that was passed to the driver for application, or that a snapshot covers.
+    pub(crate) emitted: LogIndex,
+    /// Index up to which the log is durable.
     pub(crate) persisted: LogIndex,
+    /// Ticks since the last message from the leader, or since the election timer was reset.
     pub(crate) ticks_since_leader: u32,
+    /// Whether this replica has led or heard from a leader since it started.
     pub(crate) has_heard_leader: bool,
-    pub(crate) first_ticks: u32,
+    /// Current election timeout in ticks while `has_heard_leader` is false.
+    pub(crate) startup_ticks: u32,
+    /// Value of `ticks_since_leader` at which an election starts.
     pub(crate) election_deadline: u32,
     pub(crate) effects: Effects,
     rng: SmallRng,
 }
 
 impl Consensus {
-    /// Starts a replica from what is on its disk.
+    /// Creates a replica from its durable state.
     pub fn new(id: ReplicaId, settings: CoreSettings, restored: Restored) -> Self {
         let log = MemoryLog::new(restored.image.as_ref(), restored.entries);
         let start = log.base_index();
@@ -113,7 +122,7 @@
         }
         let rng = SmallRng::seed_from_u64(settings.seed ^ id.0);
         let persisted = log.last_index();
-        let first_ticks = settings.first_election_ticks;
+        let startup_ticks = settings.startup_election_ticks;
         let mut core = Self {
             id,
             settings,
@@ -124,16 +133,16 @@
             image: restored.image,
             memberships,
             commit: start,
-            handed_out: start,
+            emitted: start,
             persisted,
             ticks_since_leader: 0,
             has_heard_leader: false,
-            first_ticks,
+            startup_ticks,
             election_deadline: 0,
             effects: Effects::default(),
             rng,
         };
-        core.election_deadline = core.settings.first_election_ticks + core.first_rank();
+        core.election_deadline = core.settings.startup_election_ticks + core.startup_rank();
         core
     }
 
@@ -157,12 +166,12 @@
         }
     }
 
-    /// Says whether this replica leads.
+    /// Returns whether this replica leads.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, RoleState::Leader(_))
     }
 
-    /// Returns the leader, as far as known.
+    /// Returns the leader, if known.
     pub fn leader(&self) -> LeaderHint {
         LeaderHint(self.leader)
     }
@@ -177,51 +186,51 @@
         self.log.last_index()
     }
 
-    /// Returns the time of the last entry of the log.
+    /// Returns the timestamp of the last entry of the log.
     pub fn last_time(&self) -> LogTime {
         self.log.last_time()
     }
 
-    /// Returns the index before the first entry still in the log.
+    /// Returns the index that precedes the first entry still in memory.
     pub fn base_index(&self) -> LogIndex {
         self.log.base_index()
     }
 
-    /// Returns the entries still in the log.
+    /// Returns the log entries still in memory.
     pub fn entries(&self) -> &[LogEntry] {
         self.log.entries()
     }
 
-    /// Returns term and vote.
+    /// Returns the current term and vote.
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// Returns the set of replicas in force.
+    /// Returns the effective membership, which may not be committed yet.
     pub fn membership(&self) -> &Membership {
         static EMPTY: Membership = Membership::empty();
         self.memberships.last().map_or(&EMPTY, |(_, membership)| membership)
     }
 
-    /// Returns the set of replicas as of an index.
+    /// Returns the membership as of an index, empty if there is none.
     pub fn membership_at(&self, index: LogIndex) -> Membership {
-        let known = self.memberships.iter().rev().find(|(since, _)| *since <= index);
-        known.map(|(_, membership)| membership.clone()).unwrap_or_default()
+        let latest = self.memberships.iter().rev().find(|(since, _)| *since <= index);
+        latest.map(|(_, membership)| membership.clone()).unwrap_or_default()
     }
 
-    /// Takes the effects of all inputs since the last call.
+    /// Returns the effects of all inputs since the last call.
     pub fn take_effects(&mut self) -> Effects {
-        while self.handed_out < self.commit {
-            let Some(entry) = self.log.get(self.handed_out.next()) else {
+        while self.emitted < self.commit {
+            let Some(entry) = self.log.get(self.emitted.next()) else {
                 break;
             };
             self.effects.committed.push(entry.clone());
-            self.handed_out = entry.index;
+            self.emitted = entry.index;
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// Tells the core that its log is durable up to `index`.
+    /// Records that the log is durable up to `index`.
     pub fn persisted(&mut self, index: LogIndex) {
         self.persisted = self.persisted.max(index.min(self.log.last_index()));
         if self.is_leader() {
@@ -242,7 +251,7 @@
         }
     }
 
-    /// Takes one message of another replica.
+    /// Handles one message from another replica.
     pub fn step(&mut self, envelope: Envelope) {
         if envelope.to != self.id {
             return;
@@ -251,44 +260,45 @@
             return;
         }
         if envelope.term < self.term() {
-            self.answer_stale(&envelope);
+            self.handle_stale_message(&envelope);
             return;
         }
         let Envelope { from, message, term, .. } = envelope;
         match message {
             Message::PreVote { last_index, last_term } => {
-                self.answer_pre_vote(from, term, last_index, last_term);
+                self.handle_pre_vote(from, term, last_index, last_term);
             }
-            Message::PreVoteAnswer { granted } => self.count_pre_vote(from, granted),
+            Message::PreVoteAnswer { granted } => self.handle_pre_vote_answer(from, granted),
             Message::Vote { last_index, last_term, transfer } => {
-                self.answer_vote(from, last_index, last_term, transfer);
+                self.handle_vote(from, last_index, last_term, transfer);
             }
-            Message::VoteAnswer { granted } => self.count_vote(from, granted),
+            Message::VoteAnswer { granted } => self.handle_vote_answer(from, granted),
             Message::Append { prev_index, prev_term, entries, commit, round } => {
-                self.follow(from);
-                self.accept_entries(from, (prev_index, prev_term), entries, commit, round);
+                self.accept_leader(from);
+                self.handle_append(from, (prev_index, prev_term), entries, commit, round);
             }
             Message::Install { image, round } => {
-                self.follow(from);
-                self.accept_image(from, image, round);
+                self.accept_leader(from);
+                self.handle_install(from, image, round);
             }
             Message::AppendAnswer { index, accepted, round } => {
-                self.take_append_answer(from, index, accepted, round);
+                self.handle_append_answer(from, index, accepted, round);
             }
             Message::TimeoutNow => self.start_transfer_election(),
         }
     }
 
-    /// Drops the log up to `index`, which `state` covers, but for the last `tail` entries.
+    /// Creates a snapshot at `index` from `state`, and drops the log up to `index` except for the
+    /// last `tail` entries. `index` is limited to the entries returned for application so far.
     ///
-    /// Returns the new snapshot, or `None` if there is one of that index already.
+    /// Returns the new snapshot, or `None` if there is one of that or a later index already.
     pub fn compact(
         &mut self,
         index: LogIndex,
         state: std::sync::Arc<[u8]>,
         tail: u64,
     ) -> Option<&SnapshotImage> {
-        let index = index.min(self.handed_out);
+        let index = index.min(self.emitted);
         if self.image.as_ref().is_some_and(|image| image.index >= index) {
             return None;
         }
@@ -308,10 +318,10 @@
     }
 
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
-        if let RoleState::Leader(leadership) =
+        if let RoleState::Leader(leader_state) =
             std::mem::replace(&mut self.role, RoleState::Follower)
         {
-            self.effects.failed_reads.extend(leadership.pending_reads());
+            self.effects.failed_reads.extend(leader_state.pending_reads());
         }
         if term > self.term() {
             self.set_hard_state(HardState { term, voted_for: None });
@@ -325,26 +335,28 @@
         self.effects.hard_state = Some(hard_state);
     }
 
-    /// Returns by how many ticks this replica stands later than the first voter after a start of the
-    /// whole group. Replicas that start together tick together too, and a random share of so few
-    /// ticks would often let two of them stand at once and split the vote.
-    fn first_rank(&self) -> u32 {
-        let before = self.membership().voters().filter(|id| *id < self.id).count();
-        (before as u32).min(MAX_FIRST_RANK)
+    /// Returns the startup rank, the number of ticks by which this replica's first election starts
+    /// after that of the first voter when the whole group starts. Replicas that start together also
+    /// tick together, and a random part of so few ticks would often let two of them start an
+    /// election at the same time and split the vote.
+    fn startup_rank(&self) -> u32 {
+        let preceding_count = self.membership().voters().filter(|id| *id < self.id).count();
+        (preceding_count as u32).min(MAX_STARTUP_RANK)
     }
 
     pub(crate) fn reset_election_timer(&mut self) {
         let ticks = match self.has_heard_leader {
             true => self.settings.election_ticks,
-            false => self.first_ticks,
+            false => self.startup_ticks,
         };
         self.ticks_since_leader = 0;
         self.election_deadline = ticks + self.rng.random_range(0..=ticks);
     }
 
-    /// Ends the time of short election timers. The one that runs is replaced too: it would end
-    /// between two heartbeats of a leader that is a little late.
-    pub(crate) fn note_leader(&mut self) {
+    /// Records that a leader was heard, after which the startup timeout no longer applies. Also
+    /// resets the running timer: its short timeout could expire between two heartbeats of a leader
+    /// that is slightly late.
+    pub(crate) fn record_leader_contact(&mut self) {
         if !std::mem::replace(&mut self.has_heard_leader, true) {
             self.reset_election_timer();
         }
@@ -365,12 +377,13 @@
         self.log.push(entry);
     }
 
-    /// Takes over a higher term. Returns false if the message must be ignored instead.
+    /// Adopts the higher term of a message where required. Returns false if the message must be
+    /// ignored.
     fn adopt_term(&mut self, envelope: &Envelope) -> bool {
         match envelope.message {
             Message::PreVote { .. } => true,
             Message::PreVoteAnswer { granted: true } => {
-                // Answers to our own pre-vote carry the term that we would stand in.
+                // A granted pre-vote carries the term of the election that would follow.
                 matches!(self.role, RoleState::PreCandidate(_))
             }
             Message::Vote { transfer, .. } => {
@@ -391,8 +404,9 @@
         }
     }
 
-    /// Tells a leader of a former term about the current one, so that it steps down.
-    fn answer_stale(&mut self, envelope: &Envelope) {
+    /// Answers a message of an earlier term with the current term, so that a stale leader steps
+    /// down.
+    fn handle_stale_message(&mut self, envelope: &Envelope) {
         match envelope.message {
             Message::Append { round, .. } | Message::Install { round, .. } => {
                 let index = self.log.last_index();
@@ -405,15 +419,15 @@
         }
     }
 
-    fn follow(&mut self, leader: ReplicaId) {
+    fn accept_leader(&mut self, leader: ReplicaId) {
         if !matches!(self.role, RoleState::Follower) || self.leader != Some(leader) {
             self.become_follower(self.term(), Some(leader));
         }
         self.ticks_since_leader = 0;
-        self.note_leader();
+        self.record_leader_contact();
     }
 
-    fn accept_entries(
+    fn handle_append(
         &mut self,
         from: ReplicaId,
         (prev_index, prev_term): (LogIndex, Term),
@@ -435,7 +449,7 @@
             }
             match self.log.term(entry.index) {
                 Some(term) if term == entry.term => continue,
-                Some(_) => self.drop_conflict(entry.index),
+                Some(_) => self.truncate_conflict(entry.index),
                 None => {}
             }
             self.push_entry(entry);
@@ -444,7 +458,7 @@
         self.send(from, Message::AppendAnswer { index: matched, accepted: true, round });
     }
 
-    fn drop_conflict(&mut self, first: LogIndex) {
+    fn truncate_conflict(&mut self, first: LogIndex) {
         self.log.truncate(first);
         self.memberships.retain(|(since, _)| *since < first);
         self.effects.entries.retain(|entry| entry.index < first);
@@ -453,12 +467,12 @@
         self.persisted = self.persisted.min(first.previous());
     }
 
-    fn accept_image(&mut self, from: ReplicaId, image: SnapshotImage, round: u64) {
+    fn handle_install(&mut self, from: ReplicaId, image: SnapshotImage, round: u64) {
         if image.index > self.commit {
             self.log.reset(&image);
             self.memberships = vec![(image.index, image.membership.clone())];
             self.commit = image.index;
-            self.handed_out = image.index;
+            self.emitted = image.index;
             self.persisted = image.index;
             self.effects.entries.clear();
             self.effects.truncate_from = None;
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,25 +1,25 @@
-//! Elections: pre-vote, vote, and the election that a leader asks for when it stops.
+//! Elections: pre-vote, vote, and the election that a stopping leader requests from a follower.
 
 use crate::{
     Consensus, Envelope, HardState, LogIndex, Message, ReplicaId, Term,
-    role::{Ballot, RoleState},
+    role::{RoleState, VoteTally},
 };
 use smallvec::SmallVec;
 
 impl Consensus {
-    /// Says whether this replica leads or heard its leader within the election timeout.
+    /// Returns whether this replica leads or has heard from its leader within the election timeout.
     pub(crate) fn has_live_leader(&self) -> bool {
         let is_recent = self.ticks_since_leader < self.settings.election_ticks;
         self.is_leader() || (self.leader.is_some() && is_recent)
     }
 
     pub(crate) fn start_pre_vote(&mut self) {
-        self.first_ticks = (self.first_ticks + 1).min(self.settings.election_ticks);
+        self.startup_ticks = (self.startup_ticks + 1).min(self.settings.election_ticks);
         self.reset_election_timer();
         self.leader = None;
-        let mut ballot = Ballot::default();
-        ballot.grant(self.id);
-        self.role = RoleState::PreCandidate(ballot);
+        let mut tally = VoteTally::default();
+        tally.grant(self.id);
+        self.role = RoleState::PreCandidate(tally);
         let term = Term(self.term().0 + 1);
         let message =
             Message::PreVote { last_index: self.log.last_index(), last_term: self.log.last_term() };
@@ -27,10 +27,10 @@
             let message = message.clone();
             self.effects.messages.push(Envelope { from: self.id, to, term, message });
         }
-        self.finish_pre_vote();
+        self.check_pre_vote_quorum();
     }
 
-    pub(crate) fn answer_pre_vote(
+    pub(crate) fn handle_pre_vote(
         &mut self,
         from: ReplicaId,
         term: Term,
@@ -39,24 +39,24 @@
     ) {
         let granted = term > self.term()
             && !self.has_live_leader()
-            && self.is_up_to_date(last_index, last_term);
+            && self.is_log_up_to_date(last_index, last_term);
         let term = if granted { term } else { self.term() };
         let message = Message::PreVoteAnswer { granted };
         self.effects.messages.push(Envelope { from: self.id, to: from, term, message });
     }
 
-    pub(crate) fn count_pre_vote(&mut self, from: ReplicaId, granted: bool) {
-        if let RoleState::PreCandidate(ballot) = &mut self.role
+    pub(crate) fn handle_pre_vote_answer(&mut self, from: ReplicaId, granted: bool) {
+        if let RoleState::PreCandidate(tally) = &mut self.role
             && granted
         {
-            ballot.grant(from);
-            self.finish_pre_vote();
+            tally.grant(from);
+            self.check_pre_vote_quorum();
         }
     }
 
-    fn finish_pre_vote(&mut self) {
-        if let RoleState::PreCandidate(ballot) = &self.role
-            && self.membership().has_quorum(|id| ballot.granted.contains(&id))
+    fn check_pre_vote_quorum(&mut self) {
+        if let RoleState::PreCandidate(tally) = &self.role
+            && self.membership().has_quorum(|id| tally.granted.contains(&id))
         {
             self.start_election(false);
         }
@@ -69,14 +69,14 @@
     }
 
     fn start_election(&mut self, transfer: bool) {
-        self.first_ticks = (self.first_ticks + 1).min(self.settings.election_ticks);
+        self.startup_ticks = (self.startup_ticks + 1).min(self.settings.election_ticks);
         self.reset_election_timer();
         self.leader = None;
         let term = Term(self.term().0 + 1);
         self.set_hard_state(HardState { term, voted_for: Some(self.id) });
-        let mut ballot = Ballot::default();
-        ballot.grant(self.id);
-        self.role = RoleState::Candidate(ballot);
+        let mut tally = VoteTally::default();
+        tally.grant(self.id);
+        self.role = RoleState::Candidate(tally);
         let message = Message::Vote {
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
@@ -85,48 +85,48 @@
         for to in self.other_voters() {
             self.send(to, message.clone());
         }
-        self.finish_election();
+        self.check_vote_quorum();
     }
 
-    pub(crate) fn answer_vote(
+    pub(crate) fn handle_vote(
         &mut self,
         from: ReplicaId,
         last_index: LogIndex,
         last_term: Term,
         transfer: bool,
     ) {
-        let is_free = match self.hard_state.voted_for {
+        let may_vote = match self.hard_state.voted_for {
             Some(candidate) => candidate == from,
             None => transfer || !self.has_live_leader(),
         };
-        let granted = is_free && self.is_up_to_date(last_index, last_term);
+        let granted = may_vote && self.is_log_up_to_date(last_index, last_term);
         if granted {
             let term = self.term();
             self.set_hard_state(HardState { term, voted_for: Some(from) });
-            self.first_ticks = self.first_ticks.max(self.settings.vote_ticks);
+            self.startup_ticks = self.startup_ticks.max(self.settings.post_vote_ticks);
             self.reset_election_timer();
         }
         self.send(from, Message::VoteAnswer { granted });
     }
 
-    pub(crate) fn count_vote(&mut self, from: ReplicaId, granted: bool) {
-        if let RoleState::Candidate(ballot) = &mut self.role
+    pub(crate) fn handle_vote_answer(&mut self, from: ReplicaId, granted: bool) {
+        if let RoleState::Candidate(tally) = &mut self.role
             && granted
         {
-            ballot.grant(from);
-            self.finish_election();
+            tally.grant(from);
+            self.check_vote_quorum();
         }
     }
 
-    fn finish_election(&mut self) {
-        if let RoleState::Candidate(ballot) = &self.role
-            && self.membership().has_quorum(|id| ballot.granted.contains(&id))
+    fn check_vote_quorum(&mut self) {
+        if let RoleState::Candidate(tally) = &self.role
+            && self.membership().has_quorum(|id| tally.granted.contains(&id))
         {
             self.become_leader();
         }
     }
 
-    fn is_up_to_date(&self, last_index: LogIndex, last_term: Term) -> bool {
+    fn is_log_up_to_date(&self, last_index: LogIndex, last_term: Term) -> bool {
         (last_term, last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,98 +1,107 @@
-//! What a leader does: replication, commits, quorum rounds for reads, membership, transfer.
+//! The leader role: replication, commits, quorum rounds for reads, membership changes and
+//! leadership transfer.
 
 use crate::{
     Consensus, ConsensusError, LogIndex, LogPayload, MemberRole, MembershipChange, MembershipError,
     Message, ReadToken, ReadyRead, ReplicaId,
-    role::{Leadership, PendingRead, Progress, RoleState},
+    role::{FollowerProgress, LeaderState, PendingRead, RoleState},
 };
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, VecDeque};
 use types::{Command, LogTime};
 
-/// What status pages show of a follower.
+/// Replication status of a follower, for status pages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowerStatus {
-    /// The follower.
+    /// Identity of the follower.
     pub id: ReplicaId,
-    /// Its log equals the leader's up to here.
+    /// Index up to which its log equals the leader's.
     pub matched: LogIndex,
-    /// It answered within the last election timeout.
+    /// Whether it answered within the last election timeout.
     pub is_active: bool,
 }
 
-/// Ticks after which an unanswered snapshot is sent again.
+/// Number of ticks after which an unanswered snapshot is sent again.
 const INSTALL_RETRY_TICKS: u32 = 40;
 
 impl Consensus {
-    /// Puts a command into the log.
+    /// Appends a command to the log. Fails unless this replica leads.
     pub fn propose(&mut self, time: LogTime, command: Command) -> Result<LogIndex, ConsensusError> {
-        self.check_leader()?;
+        self.ensure_leader()?;
         Ok(self.append(time, LogPayload::Command(command)))
     }
 
-    /// Sends what was proposed to the followers. Called once for a batch of proposals.
+    /// Sends new entries to the followers. Called once per batch of proposals.
     pub fn replicate(&mut self) {
         for id in self.followers() {
             self.send_entries(id, false);
         }
     }
 
-    /// Begins a quorum round after which the read may be served.
+    /// Queues a read, which may be served after the next quorum round. Fails unless this replica
+    /// leads.
     pub fn read(&mut self, token: ReadToken) -> Result<(), ConsensusError> {
-        self.check_leader()?;
-        if let RoleState::Leader(leadership) = &mut self.role {
-            let round = leadership.round + 1;
-            leadership.reads.push_back(PendingRead { token, round });
+        self.ensure_leader()?;
+        if let RoleState::Leader(leader_state) = &mut self.role {
+            let round = leader_state.round + 1;
+            leader_state.reads.push_back(PendingRead { token, round });
         }
         Ok(())
     }
 
-    /// Starts the round for all reads since the last one, by a heartbeat to all followers.
+    /// Starts a quorum round for all reads queued since the last one, with a heartbeat to all
+    /// followers.
     pub fn start_round(&mut self) {
-        let RoleState::Leader(leadership) = &mut self.role else {
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        if leadership.reads.back().is_none_or(|read| read.round <= leadership.round) {
+        if leader_state.reads.back().is_none_or(|read| read.round <= leader_state.round) {
             return;
         }
-        leadership.round += 1;
-        self.heartbeat();
-        self.finish_reads();
+        leader_state.round += 1;
+        self.send_heartbeats();
+        self.complete_reads();
     }
 
-    /// Changes the set of replicas by one member.
+    /// Appends a membership change of one member to the log, and replicates it.
+    ///
+    /// Fails unless this replica leads, if another change is in progress, or if the change does not
+    /// fit the membership.
     pub fn change_membership(
         &mut self,
         time: LogTime,
         change: &MembershipChange,
     ) -> Result<LogIndex, ConsensusError> {
-        self.check_leader()?;
-        let RoleState::Leader(leadership) = &self.role else {
+        self.ensure_leader()?;
+        let RoleState::Leader(leader_state) = &self.role else {
             return Err(ConsensusError::NotLeader(self.leader()));
         };
         let is_pending = self.memberships.last().is_some_and(|(since, _)| *since > self.commit);
-        if is_pending || self.commit < leadership.first_index {
-            return Err(MembershipError::Busy.into());
+        if is_pending || self.commit < leader_state.first_index {
+            return Err(MembershipError::ChangeInProgress.into());
         }
         if let MembershipChange::Promote(id) = change {
-            let progress = leadership.progress.get(id).ok_or(MembershipError::Absent(*id))?;
+            let progress =
+                leader_state.progress.get(id).ok_or(MembershipError::NoSuchMember(*id))?;
             if !progress.is_active || progress.matched < self.commit {
-                return Err(MembershipError::Behind(*id).into());
+                return Err(MembershipError::NotCaughtUp(*id).into());
             }
         }
-        let membership = self.membership().changed(change)?;
+        let membership = self.membership().with_change(change)?;
         let index = self.append(time, LogPayload::Membership(membership));
-        self.sync_progress();
+        self.update_progress_members();
         self.replicate();
         Ok(index)
     }
 
-    /// Asks the most advanced follower to take over. Returns it, if there is one.
+    /// Asks the most advanced active voter to take over, provided it holds the whole log. Returns
+    /// its identity, or `None` if no follower was asked.
     pub fn transfer_leadership(&mut self) -> Option<ReplicaId> {
-        let RoleState::Leader(leadership) = &self.role else {
+        let RoleState::Leader(leader_state) = &self.role else {
             return None;
         };
-        let voters = leadership.progress.iter().filter(|(id, _)| self.membership().is_voter(**id));
+        let voters =
+            leader_state.progress.iter().filter(|(id, _)| self.membership().is_voter(**id));
         let (id, progress) =
             voters.filter(|(_, p)| p.is_active).max_by_key(|(_, progress)| progress.matched)?;
         if progress.matched < self.log.last_index() {
@@ -103,23 +112,23 @@
         Some(id)
     }
 
-    /// Returns how far the followers are, empty unless this replica leads.
+    /// Returns the status of all followers; empty unless this replica leads.
     pub fn follower_status(&self) -> Vec<FollowerStatus> {
-        let RoleState::Leader(leadership) = &self.role else {
+        let RoleState::Leader(leader_state) = &self.role else {
             return Vec::new();
         };
-        let status = |(id, p): (&ReplicaId, &Progress)| FollowerStatus {
+        let status = |(id, p): (&ReplicaId, &FollowerProgress)| FollowerStatus {
             id: *id,
             matched: p.matched,
             is_active: p.is_active,
         };
-        leadership.progress.iter().map(status).collect()
+        leader_state.progress.iter().map(status).collect()
     }
 
     pub(crate) fn become_leader(&mut self) {
-        self.note_leader();
+        self.record_leader_contact();
         let first_index = self.log.last_index().next();
-        self.role = RoleState::Leader(Leadership {
+        self.role = RoleState::Leader(LeaderState {
             progress: BTreeMap::new(),
             first_index,
             round: 0,
@@ -129,87 +138,88 @@
         });
         self.leader = Some(self.id);
         self.append(self.log.last_time(), LogPayload::Noop);
-        self.sync_progress();
+        self.update_progress_members();
         self.replicate();
     }
 
     pub(crate) fn tick_leader(&mut self) {
         let (heartbeat_ticks, election_ticks) =
             (self.settings.heartbeat_ticks, self.settings.election_ticks);
-        let RoleState::Leader(leadership) = &mut self.role else {
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        leadership.ticks_since_heartbeat += 1;
-        leadership.ticks_since_check += 1;
-        for progress in leadership.progress.values_mut() {
-            progress.installing_ticks = progress.installing_ticks.saturating_sub(1);
+        leader_state.ticks_since_heartbeat += 1;
+        leader_state.ticks_since_check += 1;
+        for progress in leader_state.progress.values_mut() {
+            progress.install_retry_ticks = progress.install_retry_ticks.saturating_sub(1);
         }
-        let heartbeat_is_due = leadership.ticks_since_heartbeat >= heartbeat_ticks;
-        if leadership.ticks_since_check >= election_ticks && !self.check_quorum() {
+        let heartbeat_is_due = leader_state.ticks_since_heartbeat >= heartbeat_ticks;
+        if leader_state.ticks_since_check >= election_ticks && !self.check_quorum() {
             self.become_follower(self.term(), None);
             return;
         }
         if heartbeat_is_due {
-            self.heartbeat();
+            self.send_heartbeats();
         }
     }
 
-    pub(crate) fn take_append_answer(
+    pub(crate) fn handle_append_answer(
         &mut self,
         from: ReplicaId,
         index: LogIndex,
         accepted: bool,
         round: u64,
     ) {
-        let last = self.log.last_index();
-        let RoleState::Leader(leadership) = &mut self.role else {
+        let last_index = self.log.last_index();
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let Some(progress) = leadership.progress.get_mut(&from) else {
+        let Some(progress) = leader_state.progress.get_mut(&from) else {
             return;
         };
         progress.is_active = true;
         progress.acked_round = progress.acked_round.max(round);
         if accepted {
-            progress.installing_ticks = 0;
-            progress.matched = progress.matched.max(index.min(last));
+            progress.install_retry_ticks = 0;
+            progress.matched = progress.matched.max(index.min(last_index));
             progress.next = progress.next.max(progress.matched.next());
         } else {
-            progress.next = index.min(last).next().max(progress.matched.next());
+            progress.next = index.min(last_index).next().max(progress.matched.next());
         }
-        let is_behind = progress.next <= last;
+        let is_behind = progress.next <= last_index;
         if accepted {
             self.advance_commit();
         }
         if is_behind {
             self.send_entries(from, false);
         }
-        self.finish_reads();
+        self.complete_reads();
     }
 
-    /// Commits what a quorum holds durably, provided it is of the current term.
+    /// Commits the entries that a quorum holds durably, provided the last of them is of the current
+    /// term. A leader that is no longer a voter steps down once its removal is committed.
     pub(crate) fn advance_commit(&mut self) {
-        let RoleState::Leader(leadership) = &self.role else {
+        let RoleState::Leader(leader_state) = &self.role else {
             return;
         };
-        let durable = |id: ReplicaId| {
+        let durable_index = |id: ReplicaId| {
             if id == self.id {
                 self.persisted
             } else {
-                leadership.progress.get(&id).map_or(LogIndex(0), |progress| progress.matched)
+                leader_state.progress.get(&id).map_or(LogIndex(0), |progress| progress.matched)
             }
         };
         let mut indexes: SmallVec<[LogIndex; 5]> =
-            self.membership().voters().map(durable).collect();
+            self.membership().voters().map(durable_index).collect();
         indexes.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(&agreed) = indexes.get(indexes.len() / 2) else {
+        let Some(&quorum_index) = indexes.get(indexes.len() / 2) else {
             return;
         };
-        if agreed > self.commit && self.log.term(agreed) == Some(self.term()) {
-            self.commit = agreed;
-            self.finish_reads();
+        if quorum_index > self.commit && self.log.term(quorum_index) == Some(self.term()) {
+            self.commit = quorum_index;
+            self.complete_reads();
             if !self.membership().is_voter(self.id)
-                && self.memberships.last().is_some_and(|(since, _)| *since <= agreed)
+                && self.memberships.last().is_some_and(|(since, _)| *since <= quorum_index)
             {
                 self.replicate();
                 self.become_follower(self.term(), None);
@@ -217,98 +227,99 @@
         }
     }
 
-    fn check_leader(&self) -> Result<(), ConsensusError> {
+    fn ensure_leader(&self) -> Result<(), ConsensusError> {
         if self.is_leader() { Ok(()) } else { Err(ConsensusError::NotLeader(self.leader())) }
     }
 
     fn followers(&self) -> SmallVec<[ReplicaId; 5]> {
         match &self.role {
-            RoleState::Leader(leadership) => leadership.progress.keys().copied().collect(),
+            RoleState::Leader(leader_state) => leader_state.progress.keys().copied().collect(),
             _ => SmallVec::new(),
         }
     }
 
-    /// Makes the followers' progress match the set of replicas.
-    fn sync_progress(&mut self) {
+    /// Adds progress for new members and removes it for former ones.
+    fn update_progress_members(&mut self) {
         let ids: SmallVec<[ReplicaId; 5]> =
             self.membership().members().iter().map(|m| m.id).filter(|id| *id != self.id).collect();
         let next = self.log.last_index();
-        if let RoleState::Leader(leadership) = &mut self.role {
-            leadership.progress.retain(|id, _| ids.contains(id));
+        if let RoleState::Leader(leader_state) = &mut self.role {
+            leader_state.progress.retain(|id, _| ids.contains(id));
             for id in ids {
-                leadership.progress.entry(id).or_insert(Progress {
+                leader_state.progress.entry(id).or_insert(FollowerProgress {
                     next,
                     matched: LogIndex(0),
                     acked_round: 0,
                     is_active: true,
-                    installing_ticks: 0,
+                    install_retry_ticks: 0,
                 });
             }
         }
     }
 
-    /// Says whether a quorum was heard since the last check, and starts the next period.
+    /// Returns whether a quorum was heard from since the last check, and starts the next period.
     fn check_quorum(&mut self) -> bool {
-        let RoleState::Leader(leadership) = &self.role else {
+        let RoleState::Leader(leader_state) = &self.role else {
             return false;
         };
         let is_active = |id: ReplicaId| {
-            id == self.id || leadership.progress.get(&id).is_some_and(|p| p.is_active)
+            id == self.id || leader_state.progress.get(&id).is_some_and(|p| p.is_active)
         };
         let has_quorum = self.membership().has_quorum(is_active);
-        if let RoleState::Leader(leadership) = &mut self.role {
-            leadership.ticks_since_check = 0;
-            leadership.progress.values_mut().for_each(|progress| progress.is_active = false);
+        if let RoleState::Leader(leader_state) = &mut self.role {
+            leader_state.ticks_since_check = 0;
+            leader_state.progress.values_mut().for_each(|progress| progress.is_active = false);
         }
         has_quorum
     }
 
-    fn heartbeat(&mut self) {
-        if let RoleState::Leader(leadership) = &mut self.role {
-            leadership.ticks_since_heartbeat = 0;
+    fn send_heartbeats(&mut self) {
+        if let RoleState::Leader(leader_state) = &mut self.role {
+            leader_state.ticks_since_heartbeat = 0;
         }
         for id in self.followers() {
             self.send_entries(id, true);
         }
     }
 
-    /// Sends the entries that a follower lacks. A heartbeat is sent even if there are none, and
-    /// starts again from what the follower is known to hold.
+    /// Sends a follower the entries that it lacks, or a snapshot if they are compacted away. A
+    /// heartbeat is sent even without entries, and resumes after the last entry known to match.
     fn send_entries(&mut self, to: ReplicaId, is_heartbeat: bool) {
-        let (last, base) = (self.log.last_index(), self.log.base_index());
-        let max_batch = self.settings.max_batch;
-        let RoleState::Leader(leadership) = &mut self.role else {
+        let (last_index, base_index) = (self.log.last_index(), self.log.base_index());
+        let max_batch_entries = self.settings.max_batch_entries;
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let round = leadership.round;
-        let Some(progress) = leadership.progress.get_mut(&to) else {
+        let round = leader_state.round;
+        let Some(progress) = leader_state.progress.get_mut(&to) else {
             return;
         };
         if is_heartbeat && progress.matched > LogIndex(0) {
             progress.next = progress.matched.next();
         }
-        if progress.next > last && !is_heartbeat {
+        if progress.next > last_index && !is_heartbeat {
             return;
         }
-        if progress.next <= base {
-            if progress.installing_ticks == 0
+        if progress.next <= base_index {
+            if progress.install_retry_ticks == 0
                 && let Some(image) = self.image.clone()
             {
-                progress.installing_ticks = INSTALL_RETRY_TICKS;
+                progress.install_retry_ticks = INSTALL_RETRY_TICKS;
                 progress.next = image.index.next();
                 self.send(to, Message::Install { image, round });
             }
             return;
         }
         let prev_index = progress.next.previous();
-        let entries = self.log.slice(progress.next, max_batch).to_vec();
+        let entries = self.log.slice(progress.next, max_batch_entries).to_vec();
         progress.next = LogIndex(progress.next.0 + entries.len() as u64);
         let Some(prev_term) = self.log.term(prev_index) else {
             return;
         };
         let commit = self.commit;
         let message = Message::Append { prev_index, prev_term, entries, commit, round };
-        // A leader's own entries count only once they are durable, so its appends need not wait.
+        // A leader counts its own entries towards the quorum only once they are durable, so its
+        // appends may be sent before that. A new term must be durable first.
         let envelope = crate::Envelope { from: self.id, to, term: self.term(), message };
         if self.effects.hard_state.is_some() {
             self.effects.messages.push(envelope);
@@ -317,34 +328,34 @@
         }
     }
 
-    fn finish_reads(&mut self) {
-        let RoleState::Leader(leadership) = &self.role else {
+    fn complete_reads(&mut self) {
+        let RoleState::Leader(leader_state) = &self.role else {
             return;
         };
-        if self.commit < leadership.first_index {
+        if self.commit < leader_state.first_index {
             return;
         }
-        let acked = |round: u64| {
+        let is_acked = |round: u64| {
             self.membership().has_quorum(|id| {
                 id == self.id
-                    || leadership.progress.get(&id).is_some_and(|p| p.acked_round >= round)
+                    || leader_state.progress.get(&id).is_some_and(|p| p.acked_round >= round)
             })
         };
-        let started = leadership.round;
-        let done = leadership
+        let started_round = leader_state.round;
+        let done = leader_state
             .reads
             .iter()
-            .take_while(|read| read.round <= started && acked(read.round))
+            .take_while(|read| read.round <= started_round && is_acked(read.round))
             .count();
         let commit = self.commit;
-        if let RoleState::Leader(leadership) = &mut self.role {
-            for read in leadership.reads.drain(..done) {
+        if let RoleState::Leader(leader_state) = &mut self.role {
+            for read in leader_state.reads.drain(..done) {
                 self.effects.reads.push(ReadyRead { token: read.token, index: commit });
             }
         }
     }
 
-    /// Says whether a member is a learner.
+    /// Returns whether a replica is a learner.
     pub fn is_learner(&self, id: ReplicaId) -> bool {
         self.membership().get(id).is_some_and(|member| member.role == MemberRole::Learner)
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,8 +1,9 @@
-//! Raft consensus as a core without I/O.
+//! Raft consensus core without I/O.
 //!
-//! The driver feeds messages, ticks and proposals in and carries out the [`Effects`] that come
-//! out. Implements the published algorithm (Ongaro and Ousterhout, 2014; Ongaro's dissertation
-//! for pre-vote, check-quorum, leader transfer, read index and one-at-a-time membership change).
+//! The driver feeds messages, ticks and proposals into [`Consensus`] and carries out the resulting
+//! [`Effects`]. Implements the published algorithm (Ongaro and Ousterhout, 2014; Ongaro's
+//! dissertation for pre-vote, check-quorum, leader transfer, read index and one-at-a-time
+//! membership change).
 
 mod core;
 mod effects;
@@ -22,4 +23,4 @@
     Member, MemberRole, Membership, MembershipChange, MembershipError, ReplicaId,
 };
 pub use message::{Envelope, Message};
-pub use verify::{ClusterCheck, ConsensusViolation};
+pub use verify::{ConsensusViolation, InvariantChecker};
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,11 +1,11 @@
-//! The set of replicas: voters, and learners that catch up before they may vote.
+//! Membership of the replica group: voters, and learners that catch up before they may vote.
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, net::SocketAddr};
 use thiserror::Error;
 use types::HostName;
 
-/// The identity of a replica, drawn at random for each data folder.
+/// Identity of a replica, generated at random for each data folder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReplicaId(pub u64);
 
@@ -15,30 +15,30 @@
     }
 }
 
-/// What a member may do.
+/// The role of a member in elections and replication.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberRole {
-    /// Counts for elections and commits.
+    /// Counts towards the quorum of elections and commits.
     Voter,
-    /// Receives the log only.
+    /// Receives the log but does not vote.
     Learner,
 }
 
-/// One replica of the set.
+/// One replica of the group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Identity of the data folder.
+    /// Identity of the replica's data folder.
     pub id: ReplicaId,
-    /// Host, as in its certificate.
+    /// Name of its host, as in the host's certificate.
     pub host: HostName,
-    /// Where the other processes reach it.
+    /// Address at which other processes reach it.
     pub address: SocketAddr,
-    /// What it may do.
+    /// Whether it votes.
     pub role: MemberRole,
 }
 
-/// A change of the set by one member.
+/// A change of the membership by one member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
     /// Adds a learner.
@@ -49,39 +49,39 @@
     Remove(ReplicaId),
 }
 
-/// Says why a change of the set is refused.
+/// Reason why a membership change is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum MembershipError {
-    /// The id or the host is a member already.
+    /// The identity is already a member.
     #[error("replica {0} or its host is a member already")]
-    Present(ReplicaId),
-    /// The id is not a member, or not a learner where one is meant.
+    AlreadyMember(ReplicaId),
+    /// The identity is not a member, or is not a learner although the change requires one.
     #[error("replica {0} is not such a member")]
-    Absent(ReplicaId),
+    NoSuchMember(ReplicaId),
     /// The last voter cannot be removed.
     #[error("replica {0} is the last voter")]
     LastVoter(ReplicaId),
-    /// Another change is not committed yet, or the leader is new.
+    /// Another change is not committed yet, or the leader has not committed an entry of its term.
     #[error("another membership change is in progress")]
-    Busy,
-    /// The learner lacks committed entries.
+    ChangeInProgress,
+    /// The learner lacks committed entries, or has not answered the leader recently.
     #[error("replica {0} has not caught up yet")]
-    Behind(ReplicaId),
+    NotCaughtUp(ReplicaId),
 }
 
-/// All replicas.
+/// The members of the replica group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     members: Vec<Member>,
 }
 
 impl Membership {
-    /// Returns a set with these members.
+    /// Creates a membership of the given members.
     pub fn new(members: Vec<Member>) -> Self {
         Self { members }
     }
 
-    /// Returns a set without members.
+    /// Creates a membership without members.
     pub const fn empty() -> Self {
         Self { members: Vec::new() }
     }
@@ -91,35 +91,35 @@
         &self.members
     }
 
-    /// Returns a member.
+    /// Returns the member with the given identity.
     pub fn get(&self, id: ReplicaId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Returns the voters.
+    /// Returns the identities of the voters.
     pub fn voters(&self) -> impl Iterator<Item = ReplicaId> {
         self.members.iter().filter(|m| m.role == MemberRole::Voter).map(|member| member.id)
     }
 
-    /// Says whether a replica is a voter.
+    /// Returns whether a replica is a voter.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.get(id).is_some_and(|member| member.role == MemberRole::Voter)
     }
 
-    /// Says whether more than half of the voters satisfy a condition.
+    /// Returns whether more than half of the voters satisfy a condition.
     pub fn has_quorum(&self, condition: impl Fn(ReplicaId) -> bool) -> bool {
-        let all = self.voters().count();
-        let agreed = self.voters().filter(|id| condition(*id)).count();
-        agreed * 2 > all
+        let voter_count = self.voters().count();
+        let agreeing_count = self.voters().filter(|id| condition(*id)).count();
+        agreeing_count * 2 > voter_count
     }
 
-    /// Returns the set after one change.
-    pub fn changed(&self, change: &MembershipChange) -> Result<Self, MembershipError> {
+    /// Returns the membership after one change.
+    pub fn with_change(&self, change: &MembershipChange) -> Result<Self, MembershipError> {
         let mut members = self.members.clone();
         match change {
             MembershipChange::AddLearner(member) => {
                 if members.iter().any(|m| m.id == member.id) {
-                    return Err(MembershipError::Present(member.id));
+                    return Err(MembershipError::AlreadyMember(member.id));
                 }
                 members.push(Member { role: MemberRole::Learner, ..member.clone() });
             }
@@ -127,11 +127,11 @@
                 let member = members
                     .iter_mut()
                     .find(|member| member.id == *id && member.role == MemberRole::Learner)
-                    .ok_or(MembershipError::Absent(*id))?;
+                    .ok_or(MembershipError::NoSuchMember(*id))?;
                 member.role = MemberRole::Voter;
             }
             MembershipChange::Remove(id) => {
-                let removed = self.get(*id).ok_or(MembershipError::Absent(*id))?;
+                let removed = self.get(*id).ok_or(MembershipError::NoSuchMember(*id))?;
                 if removed.role == MemberRole::Voter && self.voters().count() == 1 {
                     return Err(MembershipError::LastVoter(*id));
                 }
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -1,24 +1,24 @@
-//! What a replica does at present, and the state that it needs for that.
+//! The role of a replica and the state that it keeps in that role.
 
 use crate::{LogIndex, ReadToken, ReplicaId};
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The role of a replica with its state.
+/// The current role of a replica, with the state of that role.
 pub(crate) enum RoleState {
     Follower,
-    PreCandidate(Ballot),
-    Candidate(Ballot),
-    Leader(Leadership),
+    PreCandidate(VoteTally),
+    Candidate(VoteTally),
+    Leader(LeaderState),
 }
 
-/// The votes received so far.
+/// The replicas that granted their vote or pre-vote so far.
 #[derive(Debug, Default)]
-pub(crate) struct Ballot {
+pub(crate) struct VoteTally {
     pub(crate) granted: SmallVec<[ReplicaId; 5]>,
 }
 
-impl Ballot {
+impl VoteTally {
     pub(crate) fn grant(&mut self, id: ReplicaId) {
         if !self.granted.contains(&id) {
             self.granted.push(id);
@@ -26,36 +26,43 @@
     }
 }
 
-/// How far one follower is.
+/// Replication progress of one follower.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Progress {
+pub(crate) struct FollowerProgress {
+    /// Index of the next entry to send.
     pub(crate) next: LogIndex,
+    /// Index up to which the follower's log is known to equal the leader's.
     pub(crate) matched: LogIndex,
+    /// The latest quorum round that the follower acknowledged.
     pub(crate) acked_round: u64,
+    /// Whether the follower answered, or was added, since the last quorum check.
     pub(crate) is_active: bool,
-    /// A snapshot is on its way; nothing else is sent until it is answered or the tick passes.
-    pub(crate) installing_ticks: u32,
+    /// Ticks until an unanswered snapshot is sent again; 0 if one may be sent now. Until then, a
+    /// follower whose next entry is compacted away is sent nothing.
+    pub(crate) install_retry_ticks: u32,
 }
 
-/// A read that waits for its quorum round.
+/// A read that waits for a quorum to acknowledge its round.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
     pub(crate) token: ReadToken,
     pub(crate) round: u64,
 }
 
-/// The state of a leader.
+/// State of a leader.
 #[derive(Debug)]
-pub(crate) struct Leadership {
-    pub(crate) progress: BTreeMap<ReplicaId, Progress>,
+pub(crate) struct LeaderState {
+    pub(crate) progress: BTreeMap<ReplicaId, FollowerProgress>,
+    /// Index of the no-op entry that begins the leader's term.
     pub(crate) first_index: LogIndex,
+    /// The latest quorum round that was started.
     pub(crate) round: u64,
     pub(crate) reads: VecDeque<PendingRead>,
     pub(crate) ticks_since_heartbeat: u32,
     pub(crate) ticks_since_check: u32,
 }
 
-impl Leadership {
+impl LeaderState {
     pub(crate) fn pending_reads(&self) -> impl Iterator<Item = ReadToken> {
         self.reads.iter().map(|read| read.token)
     }
--- a/crates/consensus/src/verify.rs
+++ b/crates/consensus/src/verify.rs
@@ -1,58 +1,61 @@
-//! Checks the safety invariants of the algorithm over all replicas of a group.
+//! Checks the safety invariants of Raft across all replicas of a group.
 
 use crate::{Consensus, LogEntry, LogIndex, ReplicaId, Term};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Says which invariant does not hold.
+/// A violated safety invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConsensusViolation {
     /// Two replicas lead in one term.
-    #[error("{first} and {second} both lead in term {}", .term.0)]
+    #[error("replicas {first} and {second} both lead in term {}", .term.0)]
     TwoLeaders {
-        /// One leader.
+        /// The leader seen first.
         first: ReplicaId,
-        /// The other.
+        /// The other leader.
         second: ReplicaId,
-        /// The term.
+        /// The term in which both lead.
         term: Term,
     },
     /// Two replicas committed different entries at one index.
-    #[error("{replica} committed another entry at index {index}")]
-    CommittedDiffer {
-        /// The replica that differs from what was committed first.
+    #[error(
+        "replica {replica} committed an entry at index {index} that differs from the first one"
+    )]
+    CommittedMismatch {
+        /// The replica whose entry differs from the one that was committed first.
         replica: ReplicaId,
-        /// The place.
+        /// Index of the entry.
         index: LogIndex,
     },
     /// A replica applied entries out of order.
-    #[error("{replica} applied index {index} out of order")]
-    OutOfOrder {
-        /// The replica.
+    #[error("replica {replica} applied index {index} out of order")]
+    AppliedOutOfOrder {
+        /// The replica that applied the entry.
         replica: ReplicaId,
-        /// The place.
+        /// Index of the entry.
         index: LogIndex,
     },
-    /// A term fell.
-    #[error("the term of {0} fell")]
-    TermFell(ReplicaId),
+    /// The term of a replica decreased.
+    #[error("the term of replica {0} decreased")]
+    TermDecreased(ReplicaId),
 }
 
-/// Remembers what was seen, to compare with what follows.
+/// Records the leaders, terms and applied entries of all replicas, and checks each new one against
+/// them.
 #[derive(Debug, Default)]
-pub struct ClusterCheck {
+pub struct InvariantChecker {
     leaders: BTreeMap<Term, ReplicaId>,
     committed: BTreeMap<LogIndex, LogEntry>,
     applied: BTreeMap<ReplicaId, LogIndex>,
     terms: BTreeMap<ReplicaId, Term>,
 }
 
-impl ClusterCheck {
-    /// Checks one replica's term and leadership.
+impl InvariantChecker {
+    /// Checks that a replica's term did not decrease and that no other replica led in that term.
     pub fn verify_replica(&mut self, core: &Consensus) -> Result<(), ConsensusViolation> {
         let (id, term) = (core.id(), core.term());
-        if self.terms.insert(id, term).is_some_and(|former| former > term) {
-            return Err(ConsensusViolation::TermFell(id));
+        if self.terms.insert(id, term).is_some_and(|previous| previous > term) {
+            return Err(ConsensusViolation::TermDecreased(id));
         }
         if core.is_leader() {
             let first = *self.leaders.entry(term).or_insert(id);
@@ -63,31 +66,31 @@
         Ok(())
     }
 
-    /// Checks one entry that a replica applies.
+    /// Checks that a replica applies `entry` in order, and that `entry` equals the first one that
+    /// was committed at its index.
     pub fn verify_applied(
         &mut self,
         replica: ReplicaId,
         entry: &LogEntry,
     ) -> Result<(), ConsensusViolation> {
         let index = entry.index;
-        let before = self.applied.insert(replica, index).unwrap_or_default();
-        if index != before.next() {
-            return Err(ConsensusViolation::OutOfOrder { replica, index });
+        let previous = self.applied.insert(replica, index).unwrap_or_default();
+        if index != previous.next() {
+            return Err(ConsensusViolation::AppliedOutOfOrder { replica, index });
         }
         let first = self.committed.entry(index).or_insert_with(|| entry.clone());
         if first != entry {
-            return Err(ConsensusViolation::CommittedDiffer { replica, index });
+            return Err(ConsensusViolation::CommittedMismatch { replica, index });
         }
         Ok(())
     }
 
-    /// Tells the check that a replica's state was replaced up to `index`, by a snapshot or a
-    /// restart.
-    pub fn restart_at(&mut self, replica: ReplicaId, index: LogIndex) {
+    /// Records that a snapshot or a restart replaced a replica's state up to `index`.
+    pub fn reset_applied(&mut self, replica: ReplicaId, index: LogIndex) {
         self.applied.insert(replica, index);
     }
 
-    /// Returns the number of entries that were seen committed.
+    /// Returns the number of distinct committed entries recorded.
     pub fn committed_count(&self) -> usize {
         self.committed.len()
     }
--- a/crates/consensus/tests/election_timer.rs
+++ b/crates/consensus/tests/election_timer.rs
@@ -36,7 +36,7 @@
     for seed in 0..50 {
         let mut core = started(seed);
         let settings = CoreSettings::default();
-        (0..=2 * settings.first_election_ticks).for_each(|_| core.tick());
+        (0..=2 * settings.startup_election_ticks).for_each(|_| core.tick());
         assert_ne!(core.role(), ReplicaRole::Follower, "seed {seed}");
     }
 }
--- a/crates/consensus/tests/group/mod.rs
+++ b/crates/consensus/tests/group/mod.rs
@@ -1,9 +1,9 @@
 //! A group of replicas over a faulty network and faulty disks, driven by one seeded generator.
 
 use hawthornhill_consensus::{
-    ClusterCheck, Consensus, ConsensusError, CoreSettings, Effects, Envelope, HardState, LogEntry,
-    LogIndex, Member, MemberRole, Membership, MembershipChange, ReadToken, ReplicaId, Restored,
-    SnapshotImage, Term,
+    Consensus, ConsensusError, CoreSettings, Effects, Envelope, HardState, InvariantChecker,
+    LogEntry, LogIndex, Member, MemberRole, Membership, MembershipChange, ReadToken, ReplicaId,
+    Restored, SnapshotImage, Term,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
@@ -63,7 +63,7 @@
     nodes: BTreeMap<ReplicaId, Node>,
     wire: Vec<(u64, Envelope)>,
     cuts: Vec<(ReplicaId, ReplicaId)>,
-    pub check: ClusterCheck,
+    pub check: InvariantChecker,
     pub reads: Vec<(ReplicaId, ReadToken, LogIndex)>,
     rng: SmallRng,
     pub plan: FaultPlan,
@@ -96,7 +96,7 @@
             nodes: BTreeMap::new(),
             wire: Vec::new(),
             cuts: Vec::new(),
-            check: ClusterCheck::default(),
+            check: InvariantChecker::default(),
             reads: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             plan,
@@ -137,7 +137,7 @@
         };
         let core = Consensus::new(id, settings, restored);
         node.applied = core.commit();
-        self.check.restart_at(id, core.commit());
+        self.check.reset_applied(id, core.commit());
         node.core = Some(core);
     }
 
@@ -349,7 +349,7 @@
             node.disk.image = Some(image.clone());
             node.disk.entries.clear();
             node.applied = image.index;
-            self.check.restart_at(id, image.index);
+            self.check.reset_applied(id, image.index);
         }
         if let Some(hard_state) = effects.hard_state {
             node.disk.hard_state = hard_state;
--- a/crates/consensus/tests/safety.rs
+++ b/crates/consensus/tests/safety.rs
@@ -1,5 +1,5 @@
 //! Safety of the consensus core under loss, delay, duplication, reordering, cuts, crashes between
-//! write and sync, and lost disks. Every step is checked by `ClusterCheck`.
+//! write and sync, and lost disks. Every step is checked by `InvariantChecker`.
 
 mod group;
 
@@ -182,7 +182,7 @@
     group.change_membership(&add).expect("leader").expect("accepted");
     group.run(10);
     let result = group.change_membership(&MembershipChange::Promote(ReplicaId(9)));
-    let behind = ConsensusError::Membership(MembershipError::Behind(ReplicaId(9)));
+    let behind = ConsensusError::Membership(MembershipError::NotCaughtUp(ReplicaId(9)));
     assert_eq!(result, Some(Err(behind)), "the learner does not even run");
     group.add_empty(9);
     group.run(60);
@@ -198,7 +198,7 @@
     group.isolate(leader);
     let add = |id| MembershipChange::AddLearner(member(id, MemberRole::Learner));
     assert!(matches!(group.change_membership(&add(9)), Some(Ok(_))));
-    let busy = Some(Err(ConsensusError::Membership(MembershipError::Busy)));
+    let busy = Some(Err(ConsensusError::Membership(MembershipError::ChangeInProgress)));
     assert_eq!(group.change_membership(&add(10)), busy);
 }
 
