--- a/crates/consensus/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Effects, Envelope, HardState, LogEntry, LogIndex, LogPayload, Membership, Message, ReplicaId,
-    Restored, SnapshotImage, Term, log::MemoryLog, role::RoleState,
+    RestoredState, SnapshotImage, Term, log::MemoryLog, role::RoleState,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use thiserror::Error;
@@ -108,7 +108,7 @@
 
 impl Consensus {
     /// Creates a replica from its durable state.
-    pub fn new(id: ReplicaId, settings: CoreSettings, restored: Restored) -> Self {
+    pub fn new(id: ReplicaId, settings: CoreSettings, restored: RestoredState) -> Self {
         let log = MemoryLog::new(restored.image.as_ref(), restored.entries);
         let start = log.base_index();
         let mut memberships = Vec::new();
--- a/crates/consensus/src/effects.rs
+++ b/crates/consensus/src/effects.rs
@@ -14,7 +14,7 @@
 
 /// The durable state from which a replica starts.
 #[derive(Debug, Clone, Default)]
-pub struct Restored {
+pub struct RestoredState {
     /// Term and vote.
     pub hard_state: HardState,
     /// The latest snapshot.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -16,7 +16,7 @@
 mod verify;
 
 pub use crate::core::{Consensus, ConsensusError, CoreSettings, LeaderHint, ReplicaRole};
-pub use effects::{Effects, HardState, ReadToken, ReadyRead, Restored};
+pub use effects::{Effects, HardState, ReadToken, ReadyRead, RestoredState};
 pub use leader::FollowerStatus;
 pub use log::{LogEntry, LogIndex, LogPayload, SnapshotImage, Term};
 pub use membership::{
--- a/crates/consensus/tests/election_timer.rs
+++ b/crates/consensus/tests/election_timer.rs
@@ -2,7 +2,7 @@
 
 use hawthornhill_consensus::{
     Consensus, CoreSettings, Envelope, HardState, LogIndex, Member, MemberRole, Membership,
-    Message, ReplicaId, ReplicaRole, Restored, SnapshotImage, Term,
+    Message, ReplicaId, ReplicaRole, RestoredState, SnapshotImage, Term,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use types::LogTime;
@@ -27,7 +27,7 @@
         state: Vec::new().into(),
     };
     let hard_state = HardState { term: Term(1), voted_for: None };
-    let restored = Restored { hard_state, image: Some(image), entries: Vec::new() };
+    let restored = RestoredState { hard_state, image: Some(image), entries: Vec::new() };
     Consensus::new(ReplicaId(id), CoreSettings { seed, ..CoreSettings::default() }, restored)
 }
 
--- a/crates/consensus/tests/group/mod.rs
+++ b/crates/consensus/tests/group/mod.rs
@@ -4,7 +4,7 @@
 use hawthornhill_consensus::{
     Consensus, ConsensusError, CoreSettings, Effects, Envelope, HardState, InvariantChecker,
     LogEntry, LogIndex, Member, MemberRole, Membership, MembershipChange, ReadToken, ReplicaId,
-    Restored, SnapshotImage, Term,
+    RestoredState, SnapshotImage, Term,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
@@ -139,7 +139,7 @@
     fn start(&mut self, id: ReplicaId) {
         let settings = CoreSettings { seed: self.seed, ..CoreSettings::default() };
         let replica = self.replicas.get_mut(&id).expect("known replica");
-        let restored = Restored {
+        let restored = RestoredState {
             hard_state: replica.disk.hard_state,
             image: replica.disk.image.clone(),
             entries: replica.disk.entries.clone(),
--- a/crates/consensus/tests/safety.rs
+++ b/crates/consensus/tests/safety.rs
@@ -8,7 +8,7 @@
 use hawthornhill_consensus::{
     Consensus, ConsensusError, CoreSettings, Envelope, HardState, LogEntry, LogIndex, LogPayload,
     MemberRole, Membership, MembershipChange, MembershipError, Message, ReadToken, ReplicaId,
-    Restored, SnapshotImage, Term,
+    RestoredState, SnapshotImage, Term,
 };
 use std::sync::Arc;
 use types::LogTime;
@@ -249,7 +249,7 @@
     let entry =
         LogEntry { term: Term(1), index: LogIndex(2), time: LogTime(0), payload: LogPayload::Noop };
     let hard_state = HardState { term: Term(1), voted_for: None };
-    let restored = Restored { hard_state, image: Some(image), entries: vec![entry] };
+    let restored = RestoredState { hard_state, image: Some(image), entries: vec![entry] };
     let mut core = Consensus::new(ReplicaId(1), CoreSettings::default(), restored);
     core.step(from_second_replica(1, Message::TimeoutNow));
     core.step(from_second_replica(2, Message::VoteAnswer { granted: true }));
--- a/crates/replica/src/driver.rs
+++ b/crates/replica/src/driver.rs
@@ -16,7 +16,7 @@
 };
 use consensus::{
     Consensus, ConsensusError, CoreSettings, Effects, LeaderHint, LogIndex, Member,
-    MembershipChange, ReadToken, ReadyRead, ReplicaId, Restored, Term,
+    MembershipChange, ReadToken, ReadyRead, ReplicaId, RestoredState, Term,
 };
 use parking_lot::RwLock;
 use peer::{
@@ -142,7 +142,7 @@
 pub fn start_replica(
     settings: ReplicaSettings,
     store: Box<dyn ReplicaStore>,
-    restored: Restored,
+    restored: RestoredState,
 ) -> Result<ReplicaHandle, StoreError> {
     let (inputs, queue) = mpsc::channel(QUEUE_LIMIT);
     let mut ticks = settings.timer.subscribe(TICK_PERIOD);
@@ -169,7 +169,7 @@
     fn new(
         settings: ReplicaSettings,
         store: Box<dyn ReplicaStore>,
-        restored: Restored,
+        restored: RestoredState,
         inputs: mpsc::WeakSender<ReplicaInput>,
     ) -> Result<Self, StoreError> {
         let state = decode_state(restored.image.as_ref())?;
--- a/crates/replica/src/driver/snapshots.rs
+++ b/crates/replica/src/driver/snapshots.rs
@@ -2,7 +2,7 @@
 
 use super::ReplicaDriver;
 use crate::store::{LogBatch, StoreError};
-use consensus::{Consensus, LogIndex, Member, Membership, Restored, SnapshotImage, Term};
+use consensus::{Consensus, LogIndex, Member, Membership, RestoredState, SnapshotImage, Term};
 use slog::{error, info, warn};
 use std::sync::Arc;
 use types::{ClusterState, LogTime};
@@ -36,7 +36,7 @@
         let hard_state = self.core.hard_state();
         let batch = LogBatch { hard_state: Some(hard_state), ..LogBatch::default() };
         self.store.replace(&image, &batch).map_err(|error| error.to_string())?;
-        let restored = Restored { hard_state, image: Some(image), entries: Vec::new() };
+        let restored = RestoredState { hard_state, image: Some(image), entries: Vec::new() };
         self.core = Consensus::new(self.settings.identity, self.settings.core.clone(), restored);
         self.applied = index;
         info!(self.settings.logger, "group of replicas formed");
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -5,7 +5,7 @@
 //! that depends on it leaves; so only the last record can be torn.
 
 use crate::codec::{encode_record, find_record, has_record_after};
-use consensus::{HardState, LogEntry, LogIndex, ReplicaId, Restored, SnapshotImage};
+use consensus::{HardState, LogEntry, LogIndex, ReplicaId, RestoredState, SnapshotImage};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::{
     fs::{self, File, OpenOptions},
@@ -119,7 +119,10 @@
 
 impl FileStore {
     /// Opens a data folder. An empty one gets `new_identity`.
-    pub fn open(folder: &Path, new_identity: ReplicaId) -> Result<(Self, Restored), StoreError> {
+    pub fn open(
+        folder: &Path,
+        new_identity: ReplicaId,
+    ) -> Result<(Self, RestoredState), StoreError> {
         fs::create_dir_all(folder).map_err(file_error(folder))?;
         let lock = lock_folder(folder)?;
         let log_path = folder.join(LOG_NAME);
@@ -133,7 +136,7 @@
         }
         let scan = scan_log(&log_path)?;
         let image = load_snapshot(&folder.join(SNAPSHOT_NAME), &scan.header)?;
-        let restored = Restored { image, ..replay(&log_path, &scan)? };
+        let restored = RestoredState { image, ..replay(&log_path, &scan)? };
         let log = open_log(&log_path)?;
         let store = Self {
             folder: folder.to_owned(),
@@ -248,8 +251,8 @@
 }
 
 /// Carries out the batches of a log.
-fn replay(path: &Path, scan: &LogScan) -> Result<Restored, StoreError> {
-    let mut restored = Restored::default();
+fn replay(path: &Path, scan: &LogScan) -> Result<RestoredState, StoreError> {
+    let mut restored = RestoredState::default();
     for batch in &scan.batches {
         if let Some(hard_state) = batch.hard_state {
             restored.hard_state = hard_state;
--- a/crates/replica/tests/driver.rs
+++ b/crates/replica/tests/driver.rs
@@ -1,7 +1,7 @@
 //! The replica's thread: freshness through cuts, a disk that refuses, restarts after many changes.
 
 use async_trait::async_trait;
-use consensus::{CoreSettings, Member, MemberRole, ReplicaId, Restored};
+use consensus::{CoreSettings, Member, MemberRole, ReplicaId, RestoredState};
 use hawthornhill_replica::{
     FileStore, LogBatch, ReplicaHandle, ReplicaSettings, ReplicaStore, StoreError, start_replica,
 };
@@ -65,7 +65,7 @@
     number: u64,
     store: Box<dyn ReplicaStore>,
     identity: ReplicaId,
-    restored: Restored,
+    restored: RestoredState,
 ) -> Node {
     let switch = LinkSwitch::new(net.link(host(number)));
     let settings = ReplicaSettings {
@@ -86,7 +86,7 @@
     Node { handle, switch, identity }
 }
 
-fn open(folder: &Path, number: u64) -> (FileStore, Restored) {
+fn open(folder: &Path, number: u64) -> (FileStore, RestoredState) {
     FileStore::open(folder, ReplicaId(number)).expect("opens")
 }
 
--- a/crates/replica/tests/store.rs
+++ b/crates/replica/tests/store.rs
@@ -1,7 +1,8 @@
 //! The data folder: restart, torn tail, damage, full disk, identity.
 
 use consensus::{
-    HardState, LogEntry, LogIndex, LogPayload, Membership, ReplicaId, Restored, SnapshotImage, Term,
+    HardState, LogEntry, LogIndex, LogPayload, Membership, ReplicaId, RestoredState, SnapshotImage,
+    Term,
 };
 use hawthornhill_replica::{FileStore, LogBatch, LogFile, ReplicaStore, StoreError};
 use std::{
@@ -38,11 +39,11 @@
     }
 }
 
-fn open(folder: &Path) -> Result<(FileStore, Restored), StoreError> {
+fn open(folder: &Path) -> Result<(FileStore, RestoredState), StoreError> {
     FileStore::open(folder, ReplicaId(7))
 }
 
-fn last_index(restored: &Restored) -> u64 {
+fn last_index(restored: &RestoredState) -> u64 {
     restored.entries.last().map_or(0, |entry| entry.index.0)
 }
 
