--- a/crates/consensus/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -231,7 +231,7 @@
     }
 
     /// Records that the log is durable up to `index`.
-    pub fn persisted(&mut self, index: LogIndex) {
+    pub fn mark_persisted(&mut self, index: LogIndex) {
         self.persisted = self.persisted.max(index.min(self.log.last_index()));
         if self.is_leader() {
             self.advance_commit();
--- a/crates/consensus/tests/election_timer.rs
+++ b/crates/consensus/tests/election_timer.rs
@@ -102,7 +102,7 @@
             }
             let mut effects = core.take_effects();
             if let Some(entry) = effects.entries.last() {
-                core.persisted(entry.index);
+                core.mark_persisted(entry.index);
             }
             for envelope in effects.early_messages.drain(..).chain(effects.messages.drain(..)) {
                 in_flight.push((step + rng.random_range(1..=MAX_DELAY_STEPS), envelope));
--- a/crates/consensus/tests/group/mod.rs
+++ b/crates/consensus/tests/group/mod.rs
@@ -375,7 +375,7 @@
         }
         replica.disk.entries.extend(effects.entries.iter().cloned());
         if let (Some(last), Some(core)) = (effects.entries.last(), replica.core.as_mut()) {
-            core.persisted(last.index);
+            core.mark_persisted(last.index);
         }
     }
 
--- a/crates/consensus/tests/safety.rs
+++ b/crates/consensus/tests/safety.rs
@@ -270,7 +270,7 @@
 #[test]
 fn entry_of_an_earlier_term_is_committed_only_with_one_of_the_current_term() {
     let mut core = leader_with_entry_of_earlier_term();
-    core.persisted(LogIndex(3));
+    core.mark_persisted(LogIndex(3));
     core.step(from_second_replica(2, accepted(2)));
     assert_eq!(core.commit(), LogIndex(1), "index 2 is on a quorum, but of an earlier term");
     core.step(from_second_replica(2, accepted(3)));
@@ -283,7 +283,7 @@
     let mut core = leader_with_entry_of_earlier_term();
     core.step(from_second_replica(2, accepted(3)));
     assert_eq!(core.commit(), LogIndex(1), "the entry is durable on only one of three replicas");
-    core.persisted(LogIndex(3));
+    core.mark_persisted(LogIndex(3));
     assert_eq!(core.commit(), LogIndex(3));
 }
 
--- a/crates/replica/src/driver/effects.rs
+++ b/crates/replica/src/driver/effects.rs
@@ -61,7 +61,7 @@
             self.install(image);
         }
         if let Some(entry) = effects.entries.last() {
-            self.core.persisted(entry.index);
+            self.core.mark_persisted(entry.index);
         }
         for envelope in effects.messages.drain(..) {
             self.send(envelope);
