--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -51,7 +51,7 @@
 
     /// Starts a quorum round for all reads queued since the last one, with a heartbeat to all
     /// followers.
-    pub fn start_round(&mut self) {
+    pub fn start_read_round(&mut self) {
         let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
--- a/crates/consensus/tests/group/mod.rs
+++ b/crates/consensus/tests/group/mod.rs
@@ -319,7 +319,7 @@
         loop {
             let Some(core) = self.core(id) else { return };
             core.replicate();
-            core.start_round();
+            core.start_read_round();
             let effects = core.take_effects();
             if effects.is_empty() {
                 break;
--- a/crates/replica/src/driver/effects.rs
+++ b/crates/replica/src/driver/effects.rs
@@ -36,7 +36,7 @@
         loop {
             self.core.replicate();
             if std::mem::take(&mut self.round_is_due) {
-                self.core.start_round();
+                self.core.start_read_round();
             }
             let effects = self.core.take_effects();
             if effects.is_empty() {
