--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -40,7 +40,7 @@
 
     /// Queues a read, which may be served after the next quorum round. Fails unless this replica
     /// leads.
-    pub fn read(&mut self, token: ReadToken) -> Result<(), ConsensusError> {
+    pub fn queue_read(&mut self, token: ReadToken) -> Result<(), ConsensusError> {
         self.ensure_leader()?;
         if let RoleState::Leader(leader_state) = &mut self.role {
             let round = leader_state.round + 1;
--- a/crates/consensus/tests/safety.rs
+++ b/crates/consensus/tests/safety.rs
@@ -70,13 +70,13 @@
         group.run(40);
         let old_leader = group.leader().expect("leader");
         group.isolate(old_leader);
-        group.core(old_leader).expect("up").read(ReadToken(7)).expect("still leads");
+        group.core(old_leader).expect("up").queue_read(ReadToken(7)).expect("still leads");
         group.run(100);
         assert!(!group.core(old_leader).expect("up").is_leader(), "seed {seed}");
         assert!(group.reads.is_empty(), "a read was served without a quorum, seed {seed}");
         let new_leader = group.leader().expect("new leader");
         assert_ne!(new_leader, old_leader);
-        group.core(new_leader).expect("up").read(ReadToken(8)).expect("leads");
+        group.core(new_leader).expect("up").queue_read(ReadToken(8)).expect("leads");
         group.run(10);
         assert!(
             group.reads.iter().any(|(id, token, _)| *id == new_leader && *token == ReadToken(8))
@@ -95,7 +95,7 @@
             if let Some(leader) = group.leader() {
                 let committed = LogIndex(group.checker.committed_count() as u64 + 1);
                 let core = group.core(leader).expect("up");
-                if core.read(ReadToken(number)).is_ok() {
+                if core.queue_read(ReadToken(number)).is_ok() {
                     queued_reads.push((leader, ReadToken(number), committed));
                 }
             }
--- a/crates/replica/src/driver/reads.rs
+++ b/crates/replica/src/driver/reads.rs
@@ -29,7 +29,7 @@
     ) {
         let token = ReadToken(self.next_token);
         self.next_token += 1;
-        if self.core.read(token).is_err() {
+        if self.core.queue_read(token).is_err() {
             let pending = PendingFreshness { request, reply };
             if self.core.leader() != LeaderHint(None) && pending.request.may_relay {
                 self.relays.queue(pending);
--- a/crates/replica/src/driver/relays.rs
+++ b/crates/replica/src/driver/relays.rs
@@ -156,7 +156,7 @@
             self.settings.counters.count("read-index-refused");
             return answer(reply, None);
         }
-        if self.core.read(token).is_err() {
+        if self.core.queue_read(token).is_err() {
             return answer(reply, None);
         }
         let now = Instant::now();
