--- a/crates/consensus/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -17,16 +17,17 @@
 pub struct CoreSettings {
     /// Ticks between the heartbeats of a leader.
     pub heartbeat_ticks: u32,
-    /// Election timeout in ticks. A follower adds a random number of ticks from 0 to this value. A
+    /// Election timeout in ticks. A replica adds a random number of ticks from 0 to this value. A
     /// leader that does not hear from a quorum within this time steps down.
     pub election_ticks: u32,
     /// Initial election timeout in ticks, used from startup until this replica hears from a leader.
-    /// Each pre-vote and each election lengthens it by one tick, up to `election_ticks`, since
-    /// messages may take longer than the initial value. The pre-vote keeps a replica with such a
-    /// short timeout from deposing a live leader.
+    /// The first timeout adds the startup rank, later ones a random number of ticks as above. Each
+    /// pre-vote and each election lengthens it by one tick, up to `election_ticks`, since messages
+    /// may take longer than the initial value. The pre-vote keeps a replica with such a short
+    /// timeout from deposing a live leader.
     pub startup_election_ticks: u32,
     /// Lower bound, in ticks, of the startup timeout after this replica grants a vote. The
-    /// candidate has to sync its log and exchange messages before it leads.
+    /// candidate still needs disk syncs and messages before it leads.
     pub post_vote_ticks: u32,
     /// Maximum number of entries in one message.
     pub max_batch_entries: usize,
@@ -383,7 +384,7 @@
         match envelope.message {
             Message::PreVote { .. } => true,
             Message::PreVoteAnswer { granted: true } => {
-                // A granted pre-vote carries the term of the election that would follow.
+                // The answer carries the term of the election that this replica would start.
                 matches!(self.role, RoleState::PreCandidate(_))
             }
             Message::Vote { transfer, .. } => {
--- a/crates/consensus/src/effects.rs
+++ b/crates/consensus/src/effects.rs
@@ -39,7 +39,8 @@
 /// The work that results from one batch of inputs.
 ///
 /// The driver first sends `early_messages`, then makes `install`, `hard_state`, `truncate_from` and
-/// `entries` durable, then sends `messages`, calls `Consensus::mark_persisted` and applies `committed`.
+/// `entries` durable, then sends `messages`, calls `Consensus::mark_persisted` and applies
+/// `committed`.
 #[derive(Debug, Default)]
 pub struct Effects {
     /// Messages that may be sent before anything in this batch is durable.
