--- a/crates/types/examples/bench_state.rs
+++ b/crates/types/examples/bench_state.rs
@@ -1,4 +1,5 @@
-//! Measures the replicated state machine: memory, snapshot size and time a claim and a document.
+//! Measures the memory and the time that a document and a claim take in the replicated state
+//! machine.
 //!
 //! Run: `cargo run --release -p hawthornhill-types --example bench_state`
 
@@ -19,7 +20,7 @@
     println!("{:>10} {:>10} {:>14} {:>14}", "what", "count", "RSS bytes each", "us to apply");
     let mut state = ClusterState::default();
     for count in [1_200, 12_000] {
-        let (before, begun) = (resident_kb(), Instant::now());
+        let (before, started) = (resident_kb(), Instant::now());
         for number in 0..count {
             let name = format!("svc-{count}-{number}");
             let service = ServiceSpec::new(name.parse().expect("valid"), 3);
@@ -32,10 +33,10 @@
             };
             state.apply(LogTime(0), &Command::Change(change));
         }
-        report("documents", count, before, begun);
+        report("documents", count, before, started);
     }
     for count in [100_000, 400_000] {
-        let (before, begun) = (resident_kb(), Instant::now());
+        let (before, started) = (resident_kb(), Instant::now());
         for _ in 0..count {
             let claim = ClaimRequest {
                 key: ClaimKey { service: "najem".parse().expect("valid"), key: Uuid::now_v7() },
@@ -46,12 +47,12 @@
             let now = claim.key.time_ms().unwrap_or(0);
             state.apply(LogTime(now), &Command::Claim(claim));
         }
-        report("claims", count, before, begun);
+        report("claims", count, before, started);
     }
 }
 
-fn report(what: &str, count: u64, before_kb: f64, begun: Instant) {
+fn report(what: &str, count: u64, before_kb: f64, started: Instant) {
     let bytes = (resident_kb() - before_kb) * 1024.0 / count as f64;
-    let us = begun.elapsed().as_secs_f64() * 1e6 / count as f64;
+    let us = started.elapsed().as_secs_f64() * 1e6 / count as f64;
     println!("{what:>10} {count:>10} {bytes:>14.0} {us:>14.2}");
 }
--- a/crates/types/src/change.rs
+++ b/crates/types/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, and how each was decided.
+//! Configuration changes and the decisions on them.
 
 use crate::{DomainName, TeamDocument, TeamName};
 use serde::{Deserialize, Serialize};
@@ -6,14 +6,14 @@
 use std::fmt;
 use uuid::Uuid;
 
-/// The version of one document or drain; 0 before the first change, plus 1 at each.
+/// Version of a document or drain; 0 before the first change, incremented by each change.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct DocumentVersion(pub u64);
 
 impl DocumentVersion {
-    /// Returns the version that follows.
+    /// Returns the next version.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -25,7 +25,7 @@
     }
 }
 
-/// Identifies a change over all its resends.
+/// Identifies a change; every resend carries the same id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ChangeId(pub Uuid);
 
@@ -33,11 +33,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeDigest(pub [u8; 32]);
 
-/// What a change does.
+/// The action that a change performs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ChangeAction {
-    /// Puts the team's document in force in place of its former one.
+    /// Replaces the team's document.
     Document(TeamDocument),
     /// Takes a failure domain out of service.
     Drain(DomainName),
@@ -49,38 +49,38 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// The same over all resends.
+    /// Id of the change, the same in every resend.
     pub id: ChangeId,
     /// The version that the change replaces.
     pub expected_version: DocumentVersion,
-    /// What to do.
+    /// The requested action.
     pub action: ChangeAction,
 }
 
 impl ChangeRequest {
-    /// Returns the digest that tells two changes with the same id apart.
+    /// Returns the digest that distinguishes two changes with the same id.
     pub fn digest(&self) -> ChangeDigest {
         let text = serde_json::to_vec(&(&self.expected_version, &self.action)).unwrap_or_default();
         ChangeDigest(Sha256::digest(text).into())
     }
 }
 
-/// How a change was decided. A resent change gets the first answer again.
+/// The decision on a change. A resend gets the answer of the first submission.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeAnswer {
-    /// The change is in the replicated state and stays there until another replaces it.
+    /// The change is in the replicated state until another change replaces it.
     Accepted {
         /// The new version.
         version: DocumentVersion,
     },
     /// The change was refused and changed nothing.
     Refused {
-        /// Why.
+        /// Category of the refusal.
         kind: RefusalKind,
         /// The version in force.
         current: DocumentVersion,
-        /// Explanation for operators.
+        /// Explanation for the operator.
         reason: String,
     },
 }
@@ -89,14 +89,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalKind {
-    /// Another change was accepted at the expected version.
+    /// The expected version is not the current one, because another change was accepted first.
     Conflict,
-    /// Another team holds a service of the document.
+    /// A service of the document belongs to another team.
     ServiceHeld {
-        /// The holder.
+        /// The team that holds the service.
         team: TeamName,
     },
-    /// The id was used before for another change.
+    /// The id was already used for another change.
     IdReused,
     /// The document is not valid.
     Invalid,
--- a/crates/types/src/claim.rs
+++ b/crates/types/src/claim.rs
@@ -1,33 +1,35 @@
-//! Claims: the replicated record that lets a request that may not be repeated run at most once.
+//! Claims: replicated records that ensure that a request that must not be repeated runs at most
+//! once.
 
 use crate::{EntryName, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use uuid::{Uuid, Version};
 
-/// How long after the time in its key a request may still be claimed, in milliseconds.
+/// Maximum age of a key with which a request can still be claimed, in milliseconds.
 pub const CLAIM_RETENTION_MS: u64 = 300_000;
-/// How far the time in a key may be ahead of the log's time, in milliseconds.
+/// Maximum time by which a key may be ahead of the log's time, in milliseconds.
 pub const CLOCK_SKEW_LIMIT_MS: u64 = 10_000;
-/// How long after the time in its key a claim is remembered, in milliseconds.
+/// Time from the creation of a key to the expiry of its claim, in milliseconds.
 ///
-/// Longer than the retention, so that a key is refused by its age before its claim is forgotten.
-pub const CLAIM_FORGET_AFTER_MS: u64 = CLAIM_RETENTION_MS + 2 * CLOCK_SKEW_LIMIT_MS;
+/// Longer than [`CLAIM_RETENTION_MS`], so that a key is already refused as too old when its claim
+/// expires.
+pub const CLAIM_EXPIRY_MS: u64 = CLAIM_RETENTION_MS + 2 * CLOCK_SKEW_LIMIT_MS;
 
-/// Time in the replicated log in milliseconds since the Unix epoch; never falls.
+/// Time in the replicated log in milliseconds since the Unix epoch; never decreases.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct LogTime(pub u64);
 
-/// Identifies one try of one entry to claim a key.
+/// Identifies one attempt of an entry to claim a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptId(pub Uuid);
 
-/// Identifies a request that may not be repeated.
+/// Identifies a request that must not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// The service asked for.
+    /// The requested service.
     pub service: ServiceName,
     /// The caller's key (UUIDv7, RFC 9562).
     pub key: Uuid,
@@ -50,25 +52,25 @@
     }
 }
 
-/// Asks for the right to send a request to a server.
+/// Requests the exclusive right to send a request to a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// The request.
     pub key: ClaimKey,
-    /// CRC-32 of method, path and body, to tell another request with the same key apart.
+    /// CRC-32 of method, path and body, to detect another request with the same key.
     pub digest: u32,
-    /// This try; repeated unchanged until its answer is known.
+    /// This attempt; the same in every resend until the answer is known.
     pub attempt: AttemptId,
-    /// The entry that asks.
+    /// The requesting entry.
     pub entry: EntryName,
 }
 
-/// Gives a claim up, for an attempt that sent no byte.
+/// Releases the claim of an attempt that sent no byte.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRelease {
     /// The request.
     pub key: ClaimKey,
-    /// The attempt that is given up and may never be granted from now on.
+    /// The released attempt, which is never granted afterwards.
     pub attempt: AttemptId,
 }
 
@@ -95,13 +97,13 @@
         /// HTTP status of the server's answer.
         status: u16,
     },
-    /// The key was used for a request with another content.
+    /// The key was used for a request with different content.
     OtherRequest,
     /// This attempt was released.
     Released,
-    /// The time in the key is older than the retention.
+    /// The key is older than [`CLAIM_RETENTION_MS`].
     TooOld,
-    /// The time in the key is ahead of the log's time.
+    /// The key is ahead of the log's time by more than [`CLOCK_SKEW_LIMIT_MS`].
     TooNew,
     /// The key is not a UUIDv7.
     BadKey,
--- a/crates/types/src/document.rs
+++ b/crates/types/src/document.rs
@@ -1,23 +1,21 @@
-//! The configuration document of a team, and the checks that every document passes twice: in the
-//! operator's tool and again where it is accepted.
+//! The configuration document of a team and its validation, which runs in the operator's tool and
+//! again in the process that accepts the document.
 
 use crate::{ServiceName, TeamName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// The greatest size of a document in bytes.
 const MAX_DOCUMENT_BYTES: usize = 256 * 1024;
-/// The greatest number of services in a document.
+/// Maximum number of services in a document.
 const MAX_SERVICES: usize = 256;
-/// The greatest number of rules of a service.
+/// Maximum number of rules of a service.
 const MAX_RULES: usize = 64;
-/// The least important priority.
+/// The lowest priority; 0 is the highest.
 const MAX_PRIORITY: u8 = 9;
-/// The longest timeout in milliseconds.
 const MAX_TIMEOUT_MS: u32 = 120_000;
 
-/// All services of one team.
+/// The services that one team declares.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamDocument {
@@ -27,48 +25,48 @@
     pub services: Vec<ServiceSpec>,
 }
 
-/// How one service is balanced.
+/// Load balancing settings of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Name, held by one team only.
+    /// Name; only one team may declare it.
     pub name: ServiceName,
-    /// Importance from 0 (most) to 9 (least); the least important is shed first.
+    /// Priority from 0 (highest) to 9 (lowest). Requests of the lowest priority are shed first.
     pub priority: u8,
-    /// Requests that may never be repeated.
+    /// Rules that match requests that must never be repeated.
     #[serde(default)]
     pub non_repeatable: Vec<NonRepeatableRule>,
-    /// Time allowed for a request that names no deadline, in milliseconds.
+    /// Timeout of a request without a deadline of its own, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u32,
-    /// Retries allowed, in percent of requests.
+    /// Retry budget, in percent of requests.
     #[serde(default = "default_retry_percent")]
     pub retry_percent: u8,
-    /// Hedged requests allowed, in percent of requests.
+    /// Budget of hedged requests, in percent of requests.
     #[serde(default)]
     pub hedge_percent: u8,
-    /// Concurrent requests that a cold server bears.
+    /// Maximum number of concurrent requests to a cold server.
     #[serde(default = "default_cold_concurrency")]
     pub cold_concurrency: u16,
-    /// Probes allowed for each server, a minute.
+    /// Maximum number of probes of each server per minute.
     #[serde(default = "default_probes_per_minute")]
     pub probes_per_minute: u16,
 }
 
-/// Matches requests that may never be repeated.
+/// Matches requests that must never be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NonRepeatableRule {
-    /// HTTP method in upper case, or `*` for all.
+    /// HTTP method in upper case, or `*` for all methods.
     pub method: String,
     /// Prefix of the path, starting with `/`.
     pub path: String,
 }
 
-/// Says where a document is not valid.
+/// The reason why a document is not valid, and the field concerned.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DocumentError {
-    /// The text is not a document: wrong syntax, unknown or missing field, wrong type or unit.
+    /// The text cannot be parsed: wrong syntax, unknown or missing field, wrong type or unit.
     #[error("line {line}, column {column}, field {field}: {reason}")]
     Syntax {
         /// Line, counted from 1.
@@ -77,23 +75,23 @@
         column: usize,
         /// Path of the field.
         field: String,
-        /// What is wrong.
+        /// Explanation of the error.
         reason: String,
     },
-    /// A value is out of range or contradicts another.
+    /// A value is out of range or conflicts with another.
     #[error("field {field}: {reason}")]
     Field {
         /// Path of the field.
         field: String,
-        /// What is wrong.
+        /// Explanation of the error.
         reason: String,
     },
 }
 
 impl TeamDocument {
-    /// Reads a document from JSON and verifies it.
+    /// Parses a document from JSON and verifies it.
     ///
-    /// Errors name the field, and the line and column where the syntax or a type is wrong.
+    /// Errors name the field. Syntax and type errors also give the line and column.
     pub fn parse(text: &[u8]) -> Result<Self, DocumentError> {
         if text.len() > MAX_DOCUMENT_BYTES {
             return Err(field_error(
@@ -101,12 +99,13 @@
                 format!("has {} bytes, more than {MAX_DOCUMENT_BYTES}", text.len()),
             ));
         }
-        let mut reader = serde_json::Deserializer::from_slice(text);
-        let document: Self = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
-            let field = error.path().to_string();
-            syntax_error(field, error.into_inner())
-        })?;
-        reader.end().map_err(|error| syntax_error("document".to_owned(), error))?;
+        let mut deserializer = serde_json::Deserializer::from_slice(text);
+        let document: Self =
+            serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
+                let field = error.path().to_string();
+                syntax_error(field, error.into_inner())
+            })?;
+        deserializer.end().map_err(|error| syntax_error("document".to_owned(), error))?;
         document.verify()?;
         Ok(document)
     }
@@ -118,15 +117,15 @@
         text
     }
 
-    /// Checks ranges, and that no service stands twice.
+    /// Checks the range of every value and that service names are unique.
     pub fn verify(&self) -> Result<(), DocumentError> {
         if self.services.len() > MAX_SERVICES {
             return Err(field_error("services", format!("holds more than {MAX_SERVICES}")));
         }
-        let mut seen = BTreeSet::new();
+        let mut names = BTreeSet::new();
         for (index, service) in self.services.iter().enumerate() {
             let path = format!("services[{index}]");
-            if !seen.insert(&service.name) {
+            if !names.insert(&service.name) {
                 return Err(field_error(
                     &format!("{path}.name"),
                     format!("{} stands twice", service.name),
@@ -139,7 +138,7 @@
 }
 
 impl ServiceSpec {
-    /// Returns a specification with the default of every optional field.
+    /// Returns a specification with default values for all optional fields.
     pub fn new(name: ServiceName, priority: u8) -> Self {
         Self {
             name,
@@ -153,7 +152,7 @@
         }
     }
 
-    /// Says whether a request may be sent to servers more than once.
+    /// Returns whether a request may be sent to servers more than once.
     pub fn is_repeatable(&self, method: &str, path: &str) -> bool {
         !self.non_repeatable.iter().any(|rule| rule.matches(method, path))
     }
@@ -240,7 +239,7 @@
 
 fn syntax_error(field: String, error: serde_json::Error) -> DocumentError {
     let (line, column) = (error.line(), error.column());
-    // The path is "." or "?" where the whole document is meant.
+    // serde_path_to_error writes "." or "?" for the document as a whole.
     let field = if matches!(field.as_str(), "." | "?") { "document".to_owned() } else { field };
     let text = error.to_string();
     let reason = text.split(" at line ").next().unwrap_or(&text).to_owned();
--- a/crates/types/src/entry_info.rs
+++ b/crates/types/src/entry_info.rs
@@ -1,10 +1,10 @@
-//! What an entry tells the replicas about itself.
+//! The data that an entry reports to the replicas about itself.
 
 use crate::{DomainName, EntryName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A random number drawn at each start of an entry.
+/// Random number that an entry generates at each start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryIncarnation(pub u64);
 
@@ -15,18 +15,18 @@
     pub name: EntryName,
     /// Failure domain of the entry's host.
     pub domain: DomainName,
-    /// Drawn at each start.
+    /// Generated at each start.
     pub incarnation: EntryIncarnation,
-    /// Where callers connect (HTTP).
+    /// Address for callers (HTTP).
     pub caller_address: SocketAddr,
-    /// Where servers announce themselves (HTTP).
+    /// Address for announcements of servers (HTTP).
     pub server_address: SocketAddr,
-    /// Where the system's own processes connect (QUIC).
+    /// Address for other processes of the system (QUIC).
     pub peer_address: SocketAddr,
-    /// Where operators connect (HTTPS).
+    /// Address for operators (HTTPS).
     pub operator_address: SocketAddr,
-    /// False once the entry has begun a planned stop.
+    /// False once the entry has started a planned shutdown.
     pub serving: bool,
-    /// The entry looks after a share of the servers that announce themselves to entries.
+    /// Whether the entry may own ranges of the servers that announce themselves to entries.
     pub owns_shards: bool,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,8 @@
-//! Vocabulary shared by every package: ids, names, the configuration model, the replicated view
-//! and the commands that change it.
+//! Types shared by all packages: ids, names, the configuration model, the replicated view and the
+//! commands that change it.
 //!
-//! Nothing here performs I/O or reads a clock, so that all processes agree on what a value means.
+//! This package performs no I/O and reads no clock, so that every process interprets a value in the
+//! same way.
 
 mod call;
 mod change;
@@ -21,8 +22,8 @@
     ChangeAction, ChangeAnswer, ChangeDigest, ChangeId, ChangeRequest, DocumentVersion, RefusalKind,
 };
 pub use claim::{
-    AttemptId, CLAIM_FORGET_AFTER_MS, CLAIM_RETENTION_MS, CLOCK_SKEW_LIMIT_MS, ClaimAnswer,
-    ClaimKey, ClaimRelease, ClaimRequest, ClaimResult, LogTime,
+    AttemptId, CLAIM_EXPIRY_MS, CLAIM_RETENTION_MS, CLOCK_SKEW_LIMIT_MS, ClaimAnswer, ClaimKey,
+    ClaimRelease, ClaimRequest, ClaimResult, LogTime,
 };
 pub use document::{DocumentError, NonRepeatableRule, ServiceSpec, TeamDocument};
 pub use entry_info::{EntryIncarnation, EntryInfo};
@@ -48,5 +49,5 @@
 
 use std::time::Duration;
 
-/// The greatest age of the replicated view on which an entry may start new work.
+/// Maximum age of the replicated view at which an entry may still start new work.
 pub const FRESHNESS_LIMIT: Duration = Duration::from_secs(2);
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -4,10 +4,9 @@
 use std::{fmt, str::FromStr, sync::Arc};
 use thiserror::Error;
 
-/// The greatest length of a name in bytes.
 const MAX_NAME_BYTES: usize = 63;
 
-/// Says why a text is not a valid name.
+/// The reason why a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NameError {
     /// The text is empty.
@@ -16,7 +15,7 @@
     /// The text is longer than 63 bytes.
     #[error("name has {0} bytes, more than 63")]
     TooLong(usize),
-    /// The text holds a character other than `a-z`, `0-9`, `-` and `.`.
+    /// The text contains a character other than `a-z`, `0-9`, `-` and `.`.
     #[error("name {0:?} may hold only a-z, 0-9, '-' and '.'")]
     BadCharacter(String),
 }
@@ -40,7 +39,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Returns the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -104,6 +103,6 @@
     EntryName
 );
 name_type!(
-    /// The name of a server, unique over all services.
+    /// The name of a server, unique across all services.
     ServerName
 );
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,13 +1,13 @@
-//! What became of a request, as far as the system can tell.
+//! Whether a request was executed, as far as the system knows.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The fate of a request, stated on every answer that the system makes itself.
+/// Execution outcome of a request, stated in every answer that the system itself generates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallOutcome {
-    /// No server executed the request and none will.
+    /// No server has executed the request, and none will.
     NotRun,
     /// A server executed the request.
     Ran,
@@ -16,7 +16,7 @@
 }
 
 impl CallOutcome {
-    /// Returns the value used in the outcome header.
+    /// Returns the value of the outcome header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/crates/types/src/registry.rs
+++ b/crates/types/src/registry.rs
@@ -1,59 +1,60 @@
-//! What shard owners tell the other entries about the servers they look after.
+//! Messages in which shard owners report the servers that they manage to the other entries.
 
 use crate::{Announcement, EntryIncarnation, EntryName, ServerIncarnation, ServerName};
 use serde::{Deserialize, Serialize};
 
-/// The version of a shard owner's registry of servers; plus 1 at each change.
+/// Version of a shard owner's registry of servers, incremented by each change.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct RegistryVersion(pub u64);
 
-/// How much work a server may be given.
+/// The load that a server may receive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServerStage {
-    /// Only its owner gives it work.
+    /// Only its shard owner sends it requests.
     Cold,
-    /// All entries give it work.
+    /// All entries send it requests.
     Warm,
-    /// No new work.
+    /// No entry sends it new requests.
     Leaving,
 }
 
-/// A server as its owner knows it.
+/// A server in the registry of its shard owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRecord {
-    /// Its latest announcement.
+    /// The latest announcement of the server.
     pub announcement: Announcement,
-    /// How much work it may be given.
+    /// The load that it may receive.
     pub stage: ServerStage,
 }
 
-/// One start of a shard owner.
+/// Identifies one incarnation of a shard owner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ShardOwnerId {
     /// The entry.
     pub entry: EntryName,
-    /// Its incarnation; a registry's versions count within one.
+    /// The incarnation of the entry; registry versions are comparable only within one.
     pub incarnation: EntryIncarnation,
 }
 
-/// Sent by every owner to every entry in each beat period.
+/// Heartbeat that every shard owner sends to every entry once per heartbeat period.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerBeat {
     /// The owner.
     pub owner: ShardOwnerId,
-    /// The version of its registry.
+    /// The version of the owner's registry.
     pub version: RegistryVersion,
 }
 
-/// Asks a shard owner for what changed in its registry.
+/// Requests the changes of a shard owner's registry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegistryRequest {
-    /// The incarnation that the asker knows; another one is answered with the whole registry.
+    /// The owner's incarnation as the requester knows it. An owner with another incarnation answers
+    /// with its whole registry.
     pub incarnation: EntryIncarnation,
-    /// The version that the asker has.
+    /// The version that the requester holds.
     pub since: RegistryVersion,
 }
 
@@ -62,31 +63,31 @@
 pub enum RegistryChange {
     /// A server is new or has changed.
     Put(ServerRecord),
-    /// A server is gone.
+    /// A server was removed.
     Remove(ServerName),
 }
 
-/// What changed in a shard owner's registry.
+/// Changes of a shard owner's registry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegistryDelta {
     /// The owner.
     pub owner: ShardOwnerId,
-    /// The changes build on an empty registry, not on the version asked for.
+    /// Whether the changes start from an empty registry instead of the requested version.
     pub is_whole: bool,
-    /// The changes.
+    /// The changes to apply.
     pub changes: Vec<RegistryChange>,
-    /// The version reached; lower than the registry's when more is to be pulled.
+    /// The version after the changes; lower than the registry's if more changes must be pulled.
     pub version: RegistryVersion,
 }
 
-/// Tells a shard owner that a server looks cold, slow or dead to another entry.
+/// Reports to a shard owner that another entry suspects a server of being cold, slow or dead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
     /// The server.
     pub server: ServerName,
-    /// The incarnation in which it was suspected.
+    /// The incarnation of the suspected server.
     pub incarnation: ServerIncarnation,
-    /// Why.
+    /// The reason for the suspicion.
     pub kind: SuspectKind,
 }
 
@@ -94,10 +95,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SuspectKind {
-    /// An answer carried another incarnation, or connections were lost: it may be cold.
+    /// An answer carried another incarnation, or connections were lost; the server may be cold.
     Restarted,
-    /// It declared that it is leaving.
+    /// The server declared that it is leaving.
     Leaving,
-    /// It refused a connection.
+    /// The server refused a connection.
     Unreachable,
 }
--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -1,6 +1,7 @@
-//! The routing document: which requests go to which services, and how each is treated.
+//! The routing document, which assigns requests to services and defines timeouts, priorities and
+//! limits.
 //!
-//! The whole document carries one version. The highest version that was accepted is in force.
+//! The document has a single version. The highest accepted version is in force.
 
 use crate::ServiceName;
 use serde::{Deserialize, Serialize};
@@ -25,59 +26,59 @@
     }
 }
 
-/// Routes, services and limits under one version.
+/// Routes, services and caller limits under one version.
 ///
 /// Invariants: see [`RoutingDocument::verify`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingDocument {
-    /// Version of the whole document.
+    /// The version of the whole document.
     pub version: RoutingVersion,
     /// All routes.
     pub routes: Vec<Arc<RouteSpec>>,
-    /// All services that routes may name.
+    /// All services that routes may refer to.
     pub pools: Vec<PoolSpec>,
-    /// Bounds on what callers may send.
+    /// Limits on the requests and connections of callers.
     pub limits: CallerLimits,
 }
 
-/// What differs between two versions of the routing document.
+/// The differences between two versions of the routing document.
 ///
-/// A document may hold thousands of routes of which a new version changes one, and entries may be
-/// reached over narrow links.
+/// Entries are sent patches because a document may have thousands of routes of which a new version
+/// changes one, and the links to entries may have little bandwidth.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingPatch {
-    /// The version reached.
+    /// The version after the patch.
     pub version: RoutingVersion,
-    /// Host and prefix of routes that are gone.
+    /// Host and prefix of the removed routes.
     pub removed: Vec<(Arc<str>, Arc<str>)>,
     /// Routes that are new or have changed.
     pub put: Vec<Arc<RouteSpec>>,
-    /// All services, if any has changed.
+    /// The services, if any has changed.
     pub pools: Option<Vec<PoolSpec>>,
-    /// The bounds on callers, if any has changed.
+    /// The caller limits, if any has changed.
     pub limits: Option<CallerLimits>,
 }
 
-/// Requests of one host below one path prefix.
+/// A route: the requests for one host under one path prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteSpec {
     /// Name, for logs and errors.
     pub name: Arc<str>,
-    /// Host of the requests.
+    /// Host to which the requests are addressed.
     pub host: Arc<str>,
-    /// Prefix of their path; begins with a slash.
+    /// Path prefix of the requests; starts with a slash.
     pub prefix: Arc<str>,
-    /// The requests may run more than once.
+    /// Whether the requests may run more than once.
     pub is_idempotent: bool,
-    /// Longest time that a request is kept waiting, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_ms: u32,
-    /// Time within which an answer is of full use, in milliseconds.
+    /// Target latency, in milliseconds. An answer within this time has its full value.
     pub target_ms: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// The greatest number of servers to which one request is sent.
+    /// Maximum number of servers to which one request is sent.
     pub max_attempts: u8,
-    /// Services that share the requests.
+    /// Services among which the requests are split by weight.
     pub parts: SmallVec<[RoutePart; 2]>,
 }
 
@@ -86,35 +87,35 @@
 pub struct RoutePart {
     /// The service.
     pub service: ServiceName,
-    /// Its weight among the parts.
+    /// Weight relative to the other parts of the route.
     pub weight: u32,
 }
 
-/// How the servers of one service are treated.
+/// Settings for the servers of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolSpec {
     /// The service.
     pub service: ServiceName,
-    /// Path of the servers' health check.
+    /// Path of the health check.
     pub health_path: Arc<str>,
-    /// Connections that a server takes from all callers together.
+    /// Maximum number of connections that a server accepts from all callers together.
     pub max_connections: u32,
-    /// How long a server stays cold after its start, in milliseconds.
+    /// Duration of the warm-up after the start of a server, in milliseconds.
     pub warm_up_ms: u32,
-    /// Requests that a cold server bears, in thousandths a second.
+    /// Maximum request rate of a cold server, in thousandths of a request per second.
     pub warm_up_rate_milli: u32,
 }
 
-/// Bounds on what a caller may send, and on how long it may take.
+/// Limits on the size and duration of what a caller sends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Greatest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_head_bytes: u32,
-    /// Greatest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time for the head of a request, in milliseconds.
+    /// Timeout for receiving the head of a request, in milliseconds.
     pub head_timeout_ms: u32,
-    /// Longest time for which a connection may be idle, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     pub idle_timeout_ms: u32,
 }
 
@@ -129,47 +130,48 @@
     }
 }
 
-/// Says why a routing document is not valid.
+/// The reason why a routing document is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RoutingError {
-    /// A route names a service that the document does not declare.
+    /// A route refers to a service that the document does not declare.
     #[error("route {route}: service {service} is not declared")]
     UnknownService {
         /// The route.
         route: Arc<str>,
-        /// The unknown service.
+        /// The undeclared service.
         service: ServiceName,
     },
     /// Two routes have the same host and prefix.
     #[error("route {route}: host {host} and prefix {prefix} are those of another route")]
-    SamePlace {
+    DuplicateRoute {
         /// The second route.
         route: Arc<str>,
-        /// Their host.
+        /// The common host.
         host: Arc<str>,
-        /// Their prefix.
+        /// The common prefix.
         prefix: Arc<str>,
     },
     /// The weights of a route add up to 0.
     #[error("route {0}: the weights add up to 0")]
     NoWeight(Arc<str>),
-    /// A route allows no attempt.
+    /// The number of attempts of a route is 0.
     #[error("route {0}: the number of attempts is 0")]
     NoAttempts(Arc<str>),
-    /// A prefix does not begin with a slash.
+    /// The prefix of a route does not begin with a slash.
     #[error("route {0}: the prefix does not begin with a slash")]
-    BarePrefix(Arc<str>),
-    /// A route has no time at all.
+    InvalidPrefix(Arc<str>),
+    /// The timeout of a route is 0.
     #[error("route {0}: the timeout is 0")]
     NoTimeout(Arc<str>),
 }
 
 impl RoutingDocument {
-    /// Checks that routes are distinct and complete, and name declared services only.
+    /// Checks that every route is valid and refers to declared services only, and that no two routes
+    /// have the same host and prefix.
     pub fn verify(&self) -> Result<(), RoutingError> {
         let services: BTreeSet<&ServiceName> =
             self.pools.iter().map(|pool| &pool.service).collect();
-        let mut places = BTreeSet::new();
+        let mut match_keys = BTreeSet::new();
         for route in &self.routes {
             route.verify()?;
             for part in &route.parts {
@@ -178,8 +180,8 @@
                     return Err(RoutingError::UnknownService { route, service });
                 }
             }
-            if !places.insert((&route.host, &route.prefix)) {
-                return Err(RoutingError::SamePlace {
+            if !match_keys.insert((&route.host, &route.prefix)) {
+                return Err(RoutingError::DuplicateRoute {
                     route: route.name.clone(),
                     host: route.host.clone(),
                     prefix: route.prefix.clone(),
@@ -189,26 +191,28 @@
         Ok(())
     }
 
-    /// Returns what leads from an older document to this one.
+    /// Returns the patch that turns an older document into this one.
     pub fn patch_from(&self, older: &Self) -> RoutingPatch {
-        let former: BTreeMap<_, _> = older.routes.iter().map(|r| (r.place(), r)).collect();
-        let places: BTreeSet<_> = self.routes.iter().map(|route| route.place()).collect();
-        let is_gone = |place: &&(Arc<str>, Arc<str>)| !places.contains(*place);
-        let is_new = |route: &&Arc<RouteSpec>| former.get(&route.place()) != Some(route);
+        let older_routes: BTreeMap<_, _> =
+            older.routes.iter().map(|r| (r.match_key(), r)).collect();
+        let match_keys: BTreeSet<_> = self.routes.iter().map(|route| route.match_key()).collect();
+        let is_gone = |match_key: &&(Arc<str>, Arc<str>)| !match_keys.contains(*match_key);
+        let is_new = |route: &&Arc<RouteSpec>| older_routes.get(&route.match_key()) != Some(route);
         RoutingPatch {
             version: self.version,
-            removed: former.keys().filter(is_gone).cloned().collect(),
+            removed: older_routes.keys().filter(is_gone).cloned().collect(),
             put: self.routes.iter().filter(is_new).cloned().collect(),
             pools: (self.pools != older.pools).then(|| self.pools.clone()),
             limits: (self.limits != older.limits).then(|| self.limits.clone()),
         }
     }
 
-    /// Returns the document after a patch. The order of routes may differ from the original.
+    /// Returns the document with a patch applied. The order of the routes may differ from that of
+    /// the document from which the patch was made.
     pub fn patched(&self, patch: &RoutingPatch) -> Self {
         let replaced: BTreeSet<_> =
-            patch.removed.iter().cloned().chain(patch.put.iter().map(|r| r.place())).collect();
-        let kept = self.routes.iter().filter(|route| !replaced.contains(&route.place()));
+            patch.removed.iter().cloned().chain(patch.put.iter().map(|r| r.match_key())).collect();
+        let kept = self.routes.iter().filter(|route| !replaced.contains(&route.match_key()));
         Self {
             version: patch.version,
             routes: kept.chain(&patch.put).cloned().collect(),
@@ -217,35 +221,35 @@
         }
     }
 
-    /// Returns the declaration of a service.
+    /// Returns the settings of a service.
     pub fn pool(&self, service: &ServiceName) -> Option<&PoolSpec> {
         self.pools.iter().find(|pool| pool.service == *service)
     }
 }
 
 impl RouteSpec {
-    /// Returns the longest time that a request is kept waiting.
+    /// Returns the timeout of a request.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms.into())
     }
 
-    /// Returns host and prefix, which no two routes of a document share.
-    pub fn place(&self) -> (Arc<str>, Arc<str>) {
+    /// Returns the host and the prefix, which identify the route within its document.
+    pub fn match_key(&self) -> (Arc<str>, Arc<str>) {
         (self.host.clone(), self.prefix.clone())
     }
 
-    /// Returns the time within which an answer is of full use.
+    /// Returns the target latency. An answer within this time has its full value.
     pub fn target(&self) -> Duration {
         Duration::from_millis(self.target_ms.into())
     }
 
-    /// Returns the service that gets a request, for a uniform draw from 0 to 1.
+    /// Selects the service of a request by weight. `draw` is a uniform random number from 0 to 1.
     pub fn part_for(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.parts.iter().map(|part| part.weight).sum();
-        let mut left = draw.clamp(0.0, 1.0) * f64::from(total);
+        let mut remaining = draw.clamp(0.0, 1.0) * f64::from(total);
         for part in self.parts.iter().filter(|part| part.weight > 0) {
-            left -= f64::from(part.weight);
-            if left < 0.0 {
+            remaining -= f64::from(part.weight);
+            if remaining < 0.0 {
                 return Some(&part.service);
             }
         }
@@ -254,7 +258,7 @@
 
     fn verify(&self) -> Result<(), RoutingError> {
         if !self.prefix.starts_with('/') {
-            return Err(RoutingError::BarePrefix(self.name.clone()));
+            return Err(RoutingError::InvalidPrefix(self.name.clone()));
         }
         if self.parts.iter().all(|part| part.weight == 0) {
             return Err(RoutingError::NoWeight(self.name.clone()));
@@ -269,7 +273,8 @@
     }
 }
 
-/// Finds the route of a request: among the routes of its host the one with the longest prefix.
+/// Index that finds the route of a request: the one with the longest matching prefix among the
+/// routes of the host.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     hosts: BTreeMap<Arc<str>, Vec<Arc<RouteSpec>>>,
@@ -288,7 +293,7 @@
         Self { hosts }
     }
 
-    /// Returns the route of a host (without port) and path.
+    /// Returns the route of a request. `host` has no port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteSpec>> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
--- a/crates/types/src/state.rs
+++ b/crates/types/src/state.rs
@@ -1,6 +1,7 @@
-//! The replicated state machine: commands in log order in, answers out.
+//! The replicated state machine, which applies commands in log order and returns their answers.
 //!
-//! Applying is deterministic. Time enters only through the log, so that all replicas forget alike.
+//! Applying a command is deterministic. The time comes only from the log, so that all replicas
+//! expire the same claims.
 
 mod claims;
 mod servers;
@@ -20,97 +21,98 @@
 };
 use thiserror::Error;
 
-/// How many decided changes are remembered for resends.
-const CHANGE_MEMORY: usize = 20_000;
+/// Maximum number of decided changes kept to answer resends.
+const MAX_DECIDED_CHANGES: usize = 20_000;
 
 /// A command in the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Decides an operator's change.
     Change(ChangeRequest),
-    /// Claims a request that may not be repeated.
+    /// Claims a request that must not be repeated.
     Claim(ClaimRequest),
-    /// Gives up a claim.
+    /// Releases a claim.
     Release(ClaimRelease),
-    /// Records the end of a claimed request.
+    /// Records that a claimed request has run.
     Finish(ClaimResult),
     /// Registers an entry or updates it.
     PutEntry(EntryInfo),
-    /// Removes an entry, unless it has been started again since.
+    /// Removes an entry, unless it has restarted with another incarnation.
     RemoveEntry(EntryName, EntryIncarnation),
-    /// Spreads the ranges over the entries.
+    /// Rebalances the ranges over the entries.
     BalanceRanges,
-    /// Puts a routing document, with its text as the operator sent it, in force if its version is
-    /// the highest so far.
+    /// Puts a routing document in force if its version is the highest so far. Carries the text as
+    /// the operator sent it.
     PutRouting(Arc<RoutingDocument>, SourceText),
-    /// Takes a failure domain out of service (`true`) or brings it back; the last one decides.
+    /// Takes a failure domain out of service (`true`) or brings it back; the last command wins.
     SetDrain(DomainName, bool),
     /// Registers a server or changes its state.
     Announce(Arc<Announcement>),
-    /// Removes a server that says that it is gone.
+    /// Removes a server that reported its departure.
     Depart(ServerName),
-    /// Removes a server that was silent for too long, unless it has been started again since.
+    /// Removes a server that sent no announcement for too long, unless it has restarted with
+    /// another incarnation.
     Expire(ServerName, ServerIncarnation),
 }
 
 /// The text of a routing document as the operator sent it.
 pub type SourceText = Arc<str>;
 
-/// How a routing document was decided.
+/// The decision on a routing document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RoutingDecision {
-    /// It is in force, now or since an earlier copy of it.
+    /// The document is in force, as a result of this command or of an earlier copy of it.
     InForce,
-    /// A higher version is in force, so that it changes nothing.
+    /// A higher version is in force; the document changes nothing.
     Superseded(RoutingVersion),
-    /// Another document is in force under its version.
+    /// A different document is in force under the same version.
     OtherContent,
 }
 
-/// How an announcement was decided.
+/// The decision on an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnnounceDecision {
-    /// The registry holds what it says.
+    /// The server is registered. One that is registered as leaving stays so until it restarts.
     Registered,
-    /// It is older than what the registry holds and changes nothing.
+    /// The announcement is older than the registered data and changes nothing.
     Stale,
-    /// It contradicts what the server said before in the same incarnation.
+    /// The service, address or domain differs from an earlier announcement of the same incarnation.
     Contradicts,
 }
 
 /// The answer to a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandAnswer {
-    /// For a change.
+    /// Answer to [`Command::Change`].
     Change(ChangeAnswer),
-    /// For a claim.
+    /// Answer to [`Command::Claim`].
     Claim(ClaimAnswer),
-    /// For a routing document.
+    /// Answer to [`Command::PutRouting`].
     Routing(RoutingDecision),
-    /// For an announcement.
+    /// Answer to [`Command::Announce`].
     Announce(AnnounceDecision),
-    /// For all others.
+    /// Answer to all other commands.
     Done,
 }
 
-/// Says how the state contradicts itself.
+/// A violated invariant of the state.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum StateViolation {
-    /// The view contradicts itself.
+    /// An invariant of the view is violated.
     #[error(transparent)]
     View(#[from] ViewError),
-    /// A claim is held by an attempt that was released.
+    /// A claim is held by a released attempt.
     #[error("claim {0} is held by a released attempt")]
     ReleasedHolder(ClaimKey),
-    /// The claims and their expiry queue differ.
-    #[error("claim {0} has no place in the expiry order")]
+    /// A claim is missing from the expiry index.
+    #[error("claim {0} is missing from the expiry index")]
     Expiry(ClaimKey),
 }
 
 /// All replicated state.
 ///
-/// Invariants: those of [`ClusterView`]; a released attempt never holds a claim; every claim stands
-/// once in the expiry order.
+/// Invariants: those of [`ClusterView`]; a released attempt never holds a claim; every claim is in
+/// the expiry index exactly once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterState {
     time: LogTime,
@@ -126,12 +128,12 @@
 }
 
 impl ClusterState {
-    /// Returns the time of the last command.
+    /// Returns the latest time of an applied command.
     pub fn time(&self) -> LogTime {
         self.time
     }
 
-    /// Returns the view that entries hold.
+    /// Returns the replicated view.
     pub fn view(&self) -> &ClusterView {
         &self.view
     }
@@ -141,7 +143,7 @@
         &self.routing_source
     }
 
-    /// Returns the number of claims remembered.
+    /// Returns the number of stored claims.
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
@@ -152,19 +154,19 @@
         changes.unwrap_or_else(|| ViewUpdate::Whole(Box::new(self.view.clone())))
     }
 
-    /// Returns the changes since `version`, `None` if they are not remembered, or if the whole view
-    /// is smaller because nothing is held at that version.
+    /// Returns the changes since `version`. Returns `None` if they are no longer stored, or if
+    /// `version` is that of an empty view, since the whole view is then smaller than its changes.
     pub fn changes_since(&self, version: ViewVersion) -> Option<Vec<ViewChange>> {
-        let behind = self.view.version.0.checked_sub(version.0)? as usize;
-        let holds_nothing = version == ViewVersion::default() && behind > 0;
-        let skipped = self.recent.len().checked_sub(behind).filter(|_| !holds_nothing)?;
+        let lag = self.view.version.0.checked_sub(version.0)? as usize;
+        let is_empty_view = version == ViewVersion::default() && lag > 0;
+        let skipped = self.recent.len().checked_sub(lag).filter(|_| !is_empty_view)?;
         Some(self.recent.iter().skip(skipped).cloned().collect())
     }
 
     /// Applies the next command of the log.
     pub fn apply(&mut self, time: LogTime, command: &Command) -> CommandAnswer {
         self.time = self.time.max(time);
-        self.forget_claims();
+        self.expire_claims();
         match command {
             Command::Change(change) => CommandAnswer::Change(self.decide_change(change)),
             Command::Claim(claim) => CommandAnswer::Claim(self.decide_claim(claim)),
@@ -192,8 +194,8 @@
             {
                 return Err(StateViolation::ReleasedHolder(key.clone()));
             }
-            let place = (key.time_ms().unwrap_or_default(), key.clone());
-            if !self.expiry.contains(&place) {
+            let expiry_key = (key.time_ms().unwrap_or_default(), key.clone());
+            if !self.expiry.contains(&expiry_key) {
                 return Err(StateViolation::Expiry(key.clone()));
             }
         }
@@ -221,7 +223,7 @@
         let answer = self.decide_new_change(change);
         self.decided.insert(change.id, (digest, answer.clone()));
         self.decided_order.push_back(change.id);
-        if self.decided_order.len() > CHANGE_MEMORY
+        if self.decided_order.len() > MAX_DECIDED_CHANGES
             && let Some(oldest) = self.decided_order.pop_front()
         {
             self.decided.remove(&oldest);
@@ -282,17 +284,21 @@
         let current = self.view.routing();
         let version = self.view.routing_version();
         match current {
-            Some(held) if held.version == document.version => {
+            Some(current) if current.version == document.version => {
                 if self.routing_source == *source {
                     RoutingDecision::InForce
                 } else {
                     RoutingDecision::OtherContent
                 }
             }
-            Some(held) if held.version > document.version => RoutingDecision::Superseded(version),
+            Some(current) if current.version > document.version => {
+                RoutingDecision::Superseded(version)
+            }
             _ => {
                 let change = match current {
-                    Some(held) => ViewChange::PatchRouting(Arc::new(document.patch_from(held))),
+                    Some(current) => {
+                        ViewChange::PatchRouting(Arc::new(document.patch_from(current)))
+                    }
                     None => ViewChange::PutRouting(document.clone()),
                 };
                 self.change_view(change);
@@ -311,8 +317,8 @@
     }
 
     fn put_entry(&mut self, info: &EntryInfo) -> CommandAnswer {
-        let known = self.view.entry(&info.name);
-        if known != Some(info) {
+        let registered = self.view.entry(&info.name);
+        if registered != Some(info) {
             self.change_view(ViewChange::PutEntry(info.clone()));
         }
         CommandAnswer::Done
@@ -326,9 +332,9 @@
     }
 
     fn balance_ranges(&mut self) -> CommandAnswer {
-        let moves = self.view.plan_ranges();
-        if !moves.is_empty() {
-            self.change_view(ViewChange::AssignRanges(moves));
+        let assignments = self.view.plan_ranges();
+        if !assignments.is_empty() {
+            self.change_view(ViewChange::AssignRanges(assignments));
         }
         CommandAnswer::Done
     }
--- a/crates/types/src/state/claims.rs
+++ b/crates/types/src/state/claims.rs
@@ -1,9 +1,9 @@
-//! Claims of requests that may not be repeated.
+//! Claims of requests that must not be repeated.
 
 use super::{ClusterState, CommandAnswer};
 use crate::{
-    AttemptId, CLAIM_FORGET_AFTER_MS, CLAIM_RETENTION_MS, CLOCK_SKEW_LIMIT_MS, ClaimAnswer,
-    ClaimKey, ClaimRelease, ClaimRequest, ClaimResult,
+    AttemptId, CLAIM_EXPIRY_MS, CLAIM_RETENTION_MS, CLOCK_SKEW_LIMIT_MS, ClaimAnswer, ClaimKey,
+    ClaimRelease, ClaimRequest, ClaimResult,
 };
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
@@ -24,16 +24,16 @@
 
 impl ClusterState {
     pub(super) fn decide_claim(&mut self, claim: &ClaimRequest) -> ClaimAnswer {
-        let Some(key_time) = claim.key.time_ms() else {
+        let Some(key_time_ms) = claim.key.time_ms() else {
             return ClaimAnswer::BadKey;
         };
-        if key_time > self.time.0 + CLOCK_SKEW_LIMIT_MS {
+        if key_time_ms > self.time.0 + CLOCK_SKEW_LIMIT_MS {
             return ClaimAnswer::TooNew;
         }
         if let Some(record) = self.claims.get_mut(&claim.key) {
             return record.decide(claim);
         }
-        if key_time + CLAIM_RETENTION_MS < self.time.0 {
+        if key_time_ms + CLAIM_RETENTION_MS < self.time.0 {
             return ClaimAnswer::TooOld;
         }
         let record = ClaimRecord {
@@ -41,23 +41,23 @@
             stage: ClaimStage::Held(claim.attempt),
             released: SmallVec::new(),
         };
-        self.insert_claim(key_time, claim.key.clone(), record);
+        self.insert_claim(key_time_ms, claim.key.clone(), record);
         ClaimAnswer::Granted
     }
 
     pub(super) fn release_claim(&mut self, release: &ClaimRelease) -> CommandAnswer {
         if let Some(record) = self.claims.get_mut(&release.key) {
             record.release(release.attempt);
-        } else if let Some(key_time) = release.key.time_ms()
-            && key_time + CLAIM_RETENTION_MS >= self.time.0
+        } else if let Some(key_time_ms) = release.key.time_ms()
+            && key_time_ms + CLAIM_RETENTION_MS >= self.time.0
         {
-            // The claim may still be on its way, so the release is remembered in its place.
+            // The claim may arrive after its release. This record then refuses the released attempt.
             let record = ClaimRecord {
                 digest: 0,
                 stage: ClaimStage::Free,
                 released: SmallVec::from_elem(release.attempt, 1),
             };
-            self.insert_claim(key_time, release.key.clone(), record);
+            self.insert_claim(key_time_ms, release.key.clone(), record);
         }
         CommandAnswer::Done
     }
@@ -71,14 +71,14 @@
         CommandAnswer::Done
     }
 
-    pub(super) fn insert_claim(&mut self, key_time: u64, key: ClaimKey, record: ClaimRecord) {
-        self.expiry.insert((key_time, key.clone()));
+    pub(super) fn insert_claim(&mut self, key_time_ms: u64, key: ClaimKey, record: ClaimRecord) {
+        self.expiry.insert((key_time_ms, key.clone()));
         self.claims.insert(key, record);
     }
 
-    pub(super) fn forget_claims(&mut self) {
-        while let Some((key_time, _)) = self.expiry.first() {
-            if key_time + CLAIM_FORGET_AFTER_MS >= self.time.0 {
+    pub(super) fn expire_claims(&mut self) {
+        while let Some((key_time_ms, _)) = self.expiry.first() {
+            if key_time_ms + CLAIM_EXPIRY_MS >= self.time.0 {
                 return;
             }
             if let Some((_, key)) = self.expiry.pop_first() {
--- a/crates/types/src/state/servers.rs
+++ b/crates/types/src/state/servers.rs
@@ -4,36 +4,37 @@
 use crate::{Announcement, ServerIncarnation, ServerName, ServerState, ViewChange};
 use std::sync::Arc;
 
-/// How many servers that left are remembered, so that a delayed announcement does not register
-/// them again.
-const DEPARTURE_MEMORY: usize = 20_000;
+/// Maximum number of departed servers kept, so that a delayed announcement does not register them
+/// again.
+const MAX_DEPARTED_SERVERS: usize = 20_000;
 
 impl ClusterState {
-    pub(super) fn announce(&mut self, server: &Arc<Announcement>) -> AnnounceDecision {
-        let name = &server.server;
-        if self.departed.get(name).is_some_and(|gone| *gone >= server.incarnation) {
+    pub(super) fn announce(&mut self, announcement: &Arc<Announcement>) -> AnnounceDecision {
+        let name = &announcement.server;
+        if self.departed.get(name).is_some_and(|departed| *departed >= announcement.incarnation) {
             return AnnounceDecision::Stale;
         }
-        if let Some(held) = self.view.server(name)
-            && let Some(decision) = decide_known(held, server)
+        if let Some(registered) = self.view.server(name)
+            && let Some(decision) = decide_update(registered, announcement)
         {
             return decision;
         }
-        let at_address = self.view.servers().find(|held| held.address == server.address);
-        if let Some(held) = at_address.filter(|held| held.server != *name) {
-            if held.incarnation >= server.incarnation {
+        let same_address =
+            self.view.servers().find(|registered| registered.address == announcement.address);
+        if let Some(registered) = same_address.filter(|registered| registered.server != *name) {
+            if registered.incarnation >= announcement.incarnation {
                 return AnnounceDecision::Stale;
             }
-            let (former, incarnation) = (held.server.clone(), held.incarnation);
-            self.remove_server(&former, incarnation);
+            let (previous, incarnation) = (registered.server.clone(), registered.incarnation);
+            self.remove_server(&previous, incarnation);
         }
-        self.change_view(ViewChange::PutServer(server.clone()));
+        self.change_view(ViewChange::PutServer(announcement.clone()));
         AnnounceDecision::Registered
     }
 
     pub(super) fn depart(&mut self, server: &ServerName) -> CommandAnswer {
-        if let Some(held) = self.view.server(server) {
-            let incarnation = held.incarnation;
+        if let Some(registered) = self.view.server(server) {
+            let incarnation = registered.incarnation;
             self.remove_server(server, incarnation);
         }
         CommandAnswer::Done
@@ -44,7 +45,7 @@
         server: &ServerName,
         incarnation: ServerIncarnation,
     ) -> CommandAnswer {
-        if self.view.holds_server(server, incarnation) {
+        if self.view.has_server(server, incarnation) {
             self.change_view(ViewChange::RemoveServer(server.clone()));
         }
         CommandAnswer::Done
@@ -55,7 +56,7 @@
         if self.departed.insert(server.clone(), incarnation).is_none() {
             self.departed_order.push_back(server.clone());
         }
-        if self.departed_order.len() > DEPARTURE_MEMORY
+        if self.departed_order.len() > MAX_DEPARTED_SERVERS
             && let Some(oldest) = self.departed_order.pop_front()
         {
             self.departed.remove(&oldest);
@@ -63,22 +64,25 @@
     }
 }
 
-/// Decides an announcement of a server that is registered. Returns `None` if it replaces what the
-/// registry holds.
-fn decide_known(held: &Announcement, server: &Announcement) -> Option<AnnounceDecision> {
-    if server.incarnation != held.incarnation {
-        let is_older = server.incarnation < held.incarnation;
+/// Decides on an announcement of a registered server. Returns `None` if the announcement replaces
+/// the registered one.
+fn decide_update(
+    registered: &Announcement,
+    announcement: &Announcement,
+) -> Option<AnnounceDecision> {
+    if announcement.incarnation != registered.incarnation {
+        let is_older = announcement.incarnation < registered.incarnation;
         return is_older.then_some(AnnounceDecision::Stale);
     }
-    let is_same = held.service == server.service
-        && held.address == server.address
-        && held.domain == server.domain;
+    let is_same = registered.service == announcement.service
+        && registered.address == announcement.address
+        && registered.domain == announcement.domain;
     if !is_same {
         return Some(AnnounceDecision::Contradicts);
     }
-    // A server that has begun to leave stays leaving until it starts again.
-    if held.state == server.state || held.state == ServerState::Leaving {
+    // A leaving server keeps that state until it restarts.
+    if registered.state == announcement.state || registered.state == ServerState::Leaving {
         return Some(AnnounceDecision::Registered);
     }
-    (server.sequence <= held.sequence).then_some(AnnounceDecision::Stale)
+    (announcement.sequence <= registered.sequence).then_some(AnnounceDecision::Stale)
 }
--- a/crates/types/src/view.rs
+++ b/crates/types/src/view.rs
@@ -1,7 +1,7 @@
-//! The part of the replicated state that every entry holds, and its changes.
+//! The replicated view, of which every entry holds a copy, and its changes.
 //!
-//! Each change raises the version by one, so that an entry that is a little behind is sent the
-//! changes it lacks, and only one that is far behind the whole view.
+//! Each change increments the version. An entry that lags by a few versions is sent only the missing
+//! changes; an entry that lags further is sent the whole view.
 
 use crate::{
     Announcement, DocumentVersion, DomainName, EntryInfo, EntryName, RoutingDocument, RoutingPatch,
@@ -15,36 +15,36 @@
 };
 use thiserror::Error;
 
-/// The number of ranges into which servers are hashed.
+/// Number of ranges into which servers are hashed.
 pub const RANGE_COUNT: usize = 256;
-/// The number of changes kept for entries that are behind.
+/// Maximum number of recent changes kept for entries that lag.
 pub const VIEW_LOG_LIMIT: usize = 1024;
 
-/// The version of the view; plus 1 at each change.
+/// Version of the view, incremented by each change.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct ViewVersion(pub u64);
 
-/// One of the ranges into which servers are hashed.
+/// Index of a range into which servers are hashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RangeIndex(pub u8);
 
-/// The owner of a range.
+/// The lease of a range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeLease {
-    /// The entry that looks after the servers in the range.
+    /// The entry that manages the servers in the range.
     pub owner: EntryName,
-    /// The version of the view that gave the range to this owner.
+    /// The version of the view that assigned the range to this owner.
     pub since: ViewVersion,
-    /// No other owner held the range before.
+    /// Whether the range had no owner before.
     pub is_first: bool,
 }
 
 /// A change of the view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ViewChange {
-    /// A document replaces the team's former one.
+    /// A document replaces the team's previous one.
     PutDocument(TeamDocument, DocumentVersion),
     /// A failure domain is taken out of service (`true`) or brought back.
     SetDrain(DomainName, bool, DocumentVersion),
@@ -52,19 +52,19 @@
     PutEntry(EntryInfo),
     /// An entry has left or lost its lease.
     RemoveEntry(EntryName),
-    /// Ranges get a new owner.
+    /// Ranges are assigned to new owners.
     AssignRanges(Vec<(RangeIndex, EntryName)>),
     /// The first routing document.
     PutRouting(Arc<RoutingDocument>),
-    /// A routing document differs from the former one by this.
+    /// The differences of a new routing document from the previous one.
     PatchRouting(Arc<RoutingPatch>),
     /// A server is new or has changed its state.
     PutServer(Arc<Announcement>),
-    /// A server has left, or was silent for too long.
+    /// A server has left, or has sent no announcement for too long.
     RemoveServer(ServerName),
 }
 
-/// What an entry needs to reach the current view.
+/// Update that brings an entry to the current view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ViewUpdate {
     /// The changes that follow the entry's version, in order.
@@ -74,42 +74,42 @@
 }
 
 impl ViewUpdate {
-    /// Says whether there is nothing to change.
+    /// Returns whether the update contains no changes.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Changes(changes) if changes.is_empty())
     }
 }
 
-/// Says how a view contradicts itself.
+/// A violated invariant of the view.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ViewError {
-    /// The holder of a service does not declare it.
-    #[error("service {0} is held by a team that does not declare it")]
+    /// The holder of a service is not the team that declares it.
+    #[error("service {0} is not held by the team that declares it")]
     Holder(ServiceName),
     /// A range is leased to an entry that is not registered.
-    #[error("range {range:?} is leased to {owner}, which is not an entry")]
+    #[error("range {range:?} is leased to {owner}, which is not a registered entry")]
     ShardOwner {
         /// The range.
         range: RangeIndex,
-        /// The unknown entry.
+        /// The unregistered entry.
         owner: EntryName,
     },
 }
 
-/// Configuration, drains, entries and owners.
+/// Configuration, drains, entries, range leases, routing and servers.
 ///
 /// Invariants: each service is held by exactly the team whose document declares it; every owner
 /// is a registered entry.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterView {
-    /// Version of this view.
+    /// The version of this view.
     pub version: ViewVersion,
     documents: BTreeMap<TeamName, (TeamDocument, DocumentVersion)>,
     holders: BTreeMap<ServiceName, TeamName>,
     drains: BTreeMap<DomainName, (bool, DocumentVersion)>,
     entries: BTreeMap<EntryName, EntryInfo>,
     ranges: BTreeMap<RangeIndex, RangeLease>,
-    /// Ranges that have had a shard owner at any time.
+    /// Ranges that currently have or once had a shard owner.
     used_ranges: BTreeSet<RangeIndex>,
     routing: Option<Arc<RoutingDocument>>,
     servers: BTreeMap<ServerName, Arc<Announcement>>,
@@ -136,8 +136,8 @@
         self.servers.get(name)
     }
 
-    /// Says whether a server is registered in this incarnation.
-    pub fn holds_server(&self, name: &ServerName, incarnation: ServerIncarnation) -> bool {
+    /// Returns whether a server is registered with this incarnation.
+    pub fn has_server(&self, name: &ServerName, incarnation: ServerIncarnation) -> bool {
         self.servers.get(name).is_some_and(|server| server.incarnation == incarnation)
     }
 
@@ -156,12 +156,12 @@
         self.documents.values().map(|(document, version)| (document, *version))
     }
 
-    /// Returns all drains, `true` where the failure domain is out of service.
+    /// Returns the drain state of each domain with one; `true` means out of service.
     pub fn drains(&self) -> impl Iterator<Item = (&DomainName, bool, DocumentVersion)> {
         self.drains.iter().map(|(domain, (drained, version))| (domain, *drained, *version))
     }
 
-    /// Says whether a failure domain is out of service.
+    /// Returns whether a failure domain is out of service.
     pub fn is_drained(&self, domain: &DomainName) -> bool {
         self.drains.get(domain).is_some_and(|(drained, _)| *drained)
     }
@@ -192,7 +192,7 @@
         self.ranges.get(&range)
     }
 
-    /// Returns the ranges that an entry looks after.
+    /// Returns the ranges leased to an entry.
     pub fn ranges_of(&self, owner: &EntryName) -> impl Iterator<Item = (RangeIndex, &RangeLease)> {
         let is_own = move |(_, lease): &(&RangeIndex, &RangeLease)| lease.owner == *owner;
         self.ranges.iter().filter(is_own).map(|(range, lease)| (*range, lease))
@@ -203,7 +203,7 @@
         self.range(server_range(server))
     }
 
-    /// Applies one change and raises the version.
+    /// Applies one change and increments the version.
     pub fn apply(&mut self, change: &ViewChange) {
         self.version = ViewVersion(self.version.0 + 1);
         match change {
@@ -218,8 +218,8 @@
                 self.entries.remove(name);
                 self.ranges.retain(|_, lease| lease.owner != *name);
             }
-            ViewChange::AssignRanges(moves) => {
-                for (range, owner) in moves {
+            ViewChange::AssignRanges(assignments) => {
+                for (range, owner) in assignments {
                     let is_first = self.used_ranges.insert(*range);
                     let lease = RangeLease { owner: owner.clone(), since: self.version, is_first };
                     self.ranges.insert(*range, lease);
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Brings the view up to date.
+    /// Applies an update.
     pub fn update(&mut self, update: ViewUpdate) {
         match update {
             ViewUpdate::Changes(changes) => changes.iter().for_each(|change| self.apply(change)),
@@ -247,8 +247,8 @@
         }
     }
 
-    /// Returns the moves that spread all ranges evenly over the serving entries, moving as few as
-    /// possible.
+    /// Returns the assignments that distribute all ranges evenly over the serving entries that own
+    /// shards, moving as few ranges as possible.
     pub fn plan_ranges(&self) -> Vec<(RangeIndex, EntryName)> {
         let serving: Vec<&EntryName> = self
             .entries()
@@ -258,28 +258,28 @@
         if serving.is_empty() {
             return Vec::new();
         }
-        let share = RANGE_COUNT.div_ceil(serving.len());
+        let max_ranges = RANGE_COUNT.div_ceil(serving.len());
         let mut counts: BTreeMap<&EntryName, usize> =
             serving.iter().map(|name| (*name, 0)).collect();
-        let mut homeless = Vec::new();
+        let mut unassigned = Vec::new();
         for range in (0..RANGE_COUNT).map(|index| RangeIndex(index as u8)) {
             let count = self.ranges.get(&range).and_then(|lease| counts.get_mut(&lease.owner));
             match count {
-                Some(count) if *count < share => *count += 1,
-                _ => homeless.push(range),
+                Some(count) if *count < max_ranges => *count += 1,
+                _ => unassigned.push(range),
             }
         }
-        let mut moves = Vec::with_capacity(homeless.len());
-        for range in homeless {
+        let mut assignments = Vec::with_capacity(unassigned.len());
+        for range in unassigned {
             let Some((name, count)) =
                 counts.iter_mut().min_by_key(|(name, count)| (**count, **name))
             else {
                 break;
             };
             *count += 1;
-            moves.push((range, (*name).clone()));
+            assignments.push((range, (*name).clone()));
         }
-        moves
+        assignments
     }
 
     /// Checks the invariants.
@@ -315,11 +315,11 @@
     }
 }
 
-/// Returns the range into which a server's name falls (FNV-1a, folded to one byte).
+/// Returns the range of a server: the FNV-1a hash of its name, XOR-folded to one byte.
 pub fn server_range(server: &ServerName) -> RangeIndex {
     let hash = server.as_str().bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     });
-    let folded = hash.to_be_bytes().iter().fold(0, |all, byte| all ^ byte);
+    let folded = hash.to_be_bytes().iter().fold(0, |folded, byte| folded ^ byte);
     RangeIndex(folded)
 }
--- a/crates/types/tests/document.rs
+++ b/crates/types/tests/document.rs
@@ -1,4 +1,5 @@
-//! Documents that must be refused, each with its field, and the one form in which they are printed.
+//! Validation of team documents, with the position and field that an error names, and their
+//! canonical JSON form.
 
 use expect_test::expect;
 use hawthornhill_types::{DocumentError, TeamDocument};
@@ -9,7 +10,7 @@
 }
 
 #[test]
-fn faults_name_line_and_field() {
+fn errors_name_the_invalid_field() {
     let service = |fields: &str| {
         format!(
             "{{\"team\": \"depots\",\n \"services\": [\n  {{\"name\": \"zaloga\", {fields}}}]}}"
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn a_type_error_states_line_and_column() {
+fn type_error_states_line_and_column() {
     let text =
         "{\"team\": \"depots\",\n \"services\": [\n  {\"name\": \"zaloga\", \"priority\": \"x\"}]}";
     expect![[
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn an_oversize_document_is_refused() {
+fn oversize_document_is_refused() {
     let text = " ".repeat(300 * 1024);
     let error = TeamDocument::parse(text.as_bytes()).expect_err("must be refused");
     assert!(matches!(error, DocumentError::Field { field, .. } if field == "document"));
@@ -104,11 +105,11 @@
     }
 
     #[test]
-    fn damaged_documents_are_refused_or_valid(cut in 0..200_usize, flip in any::<u8>()) {
+    fn damaged_documents_are_refused_or_valid(offset in 0..200_usize, flip in any::<u8>()) {
         let text = "{\"team\": \"depots\", \"services\": [{\"name\": \"zaloga\", \"priority\": 0, \"non_repeatable\": [{\"method\": \"POST\", \"path\": \"/\"}]}]}";
         let mut bytes = text.as_bytes().to_vec();
-        let place = cut % bytes.len();
-        bytes[place] ^= flip;
+        let index = offset % bytes.len();
+        bytes[index] ^= flip;
         if let Ok(document) = TeamDocument::parse(&bytes) {
             prop_assert_eq!(document.verify(), Ok(()));
         }
--- a/crates/types/tests/routing.rs
+++ b/crates/types/tests/routing.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn highest_version_is_in_force_in_any_order_of_arrival() {
+fn highest_version_is_in_force_whatever_the_order_of_arrival() {
     let mut state = ClusterState::default();
     let newer = document(7, vec![route("a", "/a/", "desk")]);
     let older = document(4, vec![route("a", "/a/", "archive")]);
@@ -79,13 +79,13 @@
     assert_eq!(put(&mut state, &newer, "newer"), RoutingDecision::InForce);
     let other = document(7, vec![route("a", "/a/", "archive")]);
     assert_eq!(put(&mut state, &other, "other"), RoutingDecision::OtherContent);
-    assert_eq!(state.view().routing().map(|held| held.as_ref()), Some(&newer));
+    assert_eq!(state.view().routing().map(|current| current.as_ref()), Some(&newer));
     assert_eq!(&**state.routing_source(), "newer");
 }
 
-/// An entry that follows patches holds the same routes as one that is sent all.
+/// An entry that applies patches must hold the same routes as one that is sent the whole document.
 #[test]
-fn patches_lead_to_the_same_routes_as_the_whole_document() {
+fn patches_produce_the_same_routes_as_the_whole_document() {
     let mut state = ClusterState::default();
     let versions = [
         document(1, vec![route("a", "/a/", "desk"), route("b", "/b/", "desk")]),
@@ -103,12 +103,12 @@
         follower.update(update);
         let sorted = |document: &RoutingDocument| {
             let mut routes = document.routes.clone();
-            routes.sort_by_key(|route| route.place());
+            routes.sort_by_key(|route| route.match_key());
             routes
         };
-        let held = follower.routing().expect("a document");
-        assert_eq!(sorted(held), sorted(document));
-        assert_eq!(held.version, document.version);
+        let current = follower.routing().expect("a document");
+        assert_eq!(sorted(current), sorted(document));
+        assert_eq!(current.version, document.version);
     }
 }
 
@@ -135,16 +135,16 @@
     assert_eq!(change(|r| r.parts[0].weight = 0), Err(RoutingError::NoWeight(name())));
     assert_eq!(change(|r| r.parts.clear()), Err(RoutingError::NoWeight(name())));
     assert_eq!(change(|r| r.max_attempts = 0), Err(RoutingError::NoAttempts(name())));
-    assert_eq!(change(|r| r.prefix = "a/".into()), Err(RoutingError::BarePrefix(name())));
+    assert_eq!(change(|r| r.prefix = "a/".into()), Err(RoutingError::InvalidPrefix(name())));
     assert_eq!(change(|r| r.timeout_ms = 0), Err(RoutingError::NoTimeout(name())));
     let unknown = document(1, vec![route("a", "/a/", "nobody")]).verify();
     assert!(matches!(unknown, Err(RoutingError::UnknownService { .. })));
     let twice = document(1, vec![route("a", "/a/", "desk"), route("b", "/a/", "desk")]);
-    assert!(matches!(twice.verify(), Err(RoutingError::SamePlace { .. })));
+    assert!(matches!(twice.verify(), Err(RoutingError::DuplicateRoute { .. })));
 }
 
 #[test]
-fn weights_share_the_requests() {
+fn requests_are_split_by_weight() {
     let mut split = route("a", "/a/", "desk");
     split.parts[0].weight = 90;
     split.parts.push(RoutePart { service: "archive".parse().expect("name"), weight: 10 });
@@ -154,11 +154,11 @@
 }
 
 #[test]
-fn late_announcement_of_a_former_start_changes_nothing() {
+fn delayed_announcement_of_an_earlier_incarnation_is_stale() {
     let mut state = ClusterState::default();
     assert_eq!(announce(&mut state, &announcement("s1", 5, 9)), AnnounceDecision::Registered);
     assert_eq!(announce(&mut state, &announcement("s1", 4, 99)), AnnounceDecision::Stale);
-    // Another server at the address is a later process there; the former one is gone.
+    // A newer server at the same address replaces the earlier one, whose process has ended.
     assert_eq!(announce(&mut state, &announcement("s2", 6, 1)), AnnounceDecision::Registered);
     assert_eq!(announce(&mut state, &announcement("s1", 5, 10)), AnnounceDecision::Stale);
     let names: Vec<_> = state.view().servers().map(|s| s.server.to_string()).collect();
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn leaving_server_stays_leaving_and_a_gone_one_gone_until_it_starts_again() {
+fn leaving_or_departed_server_keeps_that_state_until_it_restarts() {
     let mut state = ClusterState::default();
     announce(&mut state, &announcement("s1", 5, 1));
     let leaving = Announcement { state: ServerState::Leaving, ..announcement("s1", 5, 3) };
@@ -179,20 +179,21 @@
     assert_eq!(announce(&mut state, &announcement("s1", 6, 1)), AnnounceDecision::Registered);
 }
 
+/// An announcement with another address would redirect the server's requests to that address.
 #[test]
-fn forged_announcement_does_not_move_a_server() {
+fn forged_announcement_does_not_change_a_servers_address() {
     let mut state = ClusterState::default();
     announce(&mut state, &announcement("s1", 5, 1));
     let forged =
         Announcement { address: ([10, 0, 0, 9], 8_080).into(), ..announcement("s1", 5, 7) };
     assert_eq!(announce(&mut state, &forged), AnnounceDecision::Contradicts);
     let name = "s1".parse().expect("name");
-    let held = state.view().server(&name).map(|server| server.address);
-    assert_eq!(held, Some(([10, 0, 0, 1], 8_080).into()));
+    let address = state.view().server(&name).map(|server| server.address);
+    assert_eq!(address, Some(([10, 0, 0, 1], 8_080).into()));
 }
 
 #[test]
-fn repeated_drain_changes_nothing_and_the_last_order_decides() {
+fn repeated_drain_changes_nothing_and_the_last_command_wins() {
     let mut state = ClusterState::default();
     let domain = "north".parse().expect("name");
     for is_drained in [true, true, false, false, true] {
--- a/crates/types/tests/state.rs
+++ b/crates/types/tests/state.rs
@@ -39,8 +39,9 @@
     ChangeAnswer::Accepted { version: DocumentVersion(version) }
 }
 
+/// Two operators change the same version. Accepting both would silently overwrite the first change.
 #[test]
-fn of_two_changes_with_equal_versions_one_wins() {
+fn second_change_with_the_same_expected_version_is_refused() {
     let mut state = ClusterState::default();
     let first = change(1, 0, ChangeAction::Document(document("a", &["s"], 10)));
     let second = change(2, 0, ChangeAction::Document(document("a", &["s"], 20)));
@@ -53,8 +54,9 @@
     );
 }
 
+/// A change resent after a lost answer must not revert one that was accepted in between.
 #[test]
-fn a_resent_change_gets_its_first_answer_again() {
+fn resent_change_gets_its_first_answer() {
     let mut state = ClusterState::default();
     let first = change(1, 0, ChangeAction::Document(document("a", &["s"], 10)));
     let next = change(2, 1, ChangeAction::Document(document("a", &["s"], 20)));
@@ -62,14 +64,14 @@
     assert_eq!(decide(&mut state, &first), accepted(1));
     assert_eq!(decide(&mut state, &next), accepted(2));
     let refused = decide(&mut state, &late);
-    assert_eq!(decide(&mut state, &first), accepted(1), "not carried out again");
+    assert_eq!(decide(&mut state, &first), accepted(1), "the resend is not applied again");
     assert_eq!(decide(&mut state, &late), refused);
     let spec = state.view().service(&"s".parse().expect("valid")).expect("declared");
-    assert_eq!(spec.timeout_ms, 20, "the resend reverted nothing");
+    assert_eq!(spec.timeout_ms, 20, "the resend did not revert the later change");
 }
 
 #[test]
-fn an_id_used_for_another_change_is_refused() {
+fn change_id_reused_for_another_change_is_refused() {
     let mut state = ClusterState::default();
     decide(&mut state, &change(1, 0, ChangeAction::Document(document("a", &["s"], 10))));
     let answer =
@@ -78,7 +80,7 @@
 }
 
 #[test]
-fn a_service_of_another_team_is_refused_with_its_holder() {
+fn service_held_by_another_team_is_refused_and_its_holder_named() {
     let mut state = ClusterState::default();
     decide(&mut state, &change(1, 0, ChangeAction::Document(document("a", &["s", "t"], 10))));
     let claim = change(2, 0, ChangeAction::Document(document("b", &["s"], 10)));
@@ -87,7 +89,7 @@
     assert!(
         matches!(&answer, ChangeAnswer::Refused { kind, .. } if *kind == RefusalKind::ServiceHeld { team })
     );
-    // Given up by its holder, it is free for the other team.
+    // After its holder drops the service, the other team may declare it.
     decide(&mut state, &change(3, 1, ChangeAction::Document(document("a", &["t"], 10))));
     let again = change(4, 0, ChangeAction::Document(document("b", &["s"], 10)));
     assert_eq!(decide(&mut state, &again), accepted(1));
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn ranges_are_spread_evenly_and_moved_sparingly() {
+fn ranges_are_balanced_with_as_few_moves_as_possible() {
     let mut state = ClusterState::default();
     for name in ["a", "b", "c", "d"] {
         state.apply(LogTime(NOW_MS), &Command::PutEntry(entry(name, 1)));
@@ -127,13 +129,17 @@
     let kept: Vec<_> = state.view().ranges_of(&"a".parse().expect("valid")).map(|r| r.0).collect();
     state.apply(LogTime(NOW_MS), &Command::BalanceRanges);
     let after: Vec<_> = state.view().ranges_of(&"a".parse().expect("valid")).map(|r| r.0).collect();
-    assert!(kept.iter().all(|range| after.contains(range)), "a range moved without need");
+    assert!(
+        kept.iter().all(|range| after.contains(range)),
+        "a range moved although its owner remained"
+    );
     assert_eq!(count(&state, "a") + count(&state, "b") + count(&state, "c"), 256);
     assert_eq!(state.verify(), Ok(()));
 }
 
+/// The removal of an entry may be decided after the entry has restarted.
 #[test]
-fn an_entry_that_was_started_again_is_not_removed_for_its_former_self() {
+fn removal_of_a_previous_incarnation_keeps_the_restarted_entry() {
     let mut state = ClusterState::default();
     state.apply(LogTime(NOW_MS), &Command::PutEntry(entry("a", 1)));
     state.apply(LogTime(NOW_MS), &Command::PutEntry(entry("a", 2)));
@@ -185,8 +191,9 @@
     assert_eq!(claim(&mut state, NOW_MS, claim_of(&other, 4, 7)), ClaimAnswer::Granted);
 }
 
+/// A claim that arrives after its release must not be granted to an attempt that has already ended.
 #[test]
-fn a_released_attempt_is_never_granted_even_if_the_release_comes_first() {
+fn released_attempt_is_never_granted_even_if_the_release_arrives_first() {
     for release_first in [false, true] {
         let mut state = ClusterState::default();
         let key = key_at(NOW_MS, 1);
@@ -206,7 +213,7 @@
 }
 
 #[test]
-fn keys_out_of_time_or_form_are_refused() {
+fn claim_keys_too_old_too_new_or_not_uuidv7_are_refused() {
     let mut state = ClusterState::default();
     let old = key_at(NOW_MS - CLAIM_RETENTION_MS - 1, 1);
     assert_eq!(claim(&mut state, NOW_MS, claim_of(&old, 1, 7)), ClaimAnswer::TooOld);
@@ -220,10 +227,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(2), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Attempts race, release, finish and come back late; time may pass, or seem to fall, between
-    /// any two commands. At most one attempt that was not released is ever granted.
+    /// Attempts claim, release and finish in any order, also after their claims have expired; up to
+    /// 100 s pass between two commands. At most one attempt that is not released may be granted: a
+    /// second one would run the request twice.
     #[test]
-    fn no_key_is_ever_granted_to_two_attempts_that_both_send(
+    fn key_is_never_granted_to_two_attempts_that_both_send(
         steps in proptest::collection::vec((0..3_u64, 0..4_u128, 0..4_u8, 0..200_000_u64), 1..80)
     ) {
         let mut state = ClusterState::default();
@@ -235,7 +243,7 @@
             let key = key_at(NOW_MS, number);
             let id = AttemptId(Uuid::from_u128(attempt + 10 * u128::from(number)));
             match action {
-                // An attempt claims, and sends at once if granted.
+                // An attempt claims the key and sends the request at once if granted.
                 0 | 1 if !released.contains(&(number, attempt)) => {
                     let request = ClaimRequest { attempt: id, ..claim_of(&key, 0, 7) };
                     if claim(&mut state, time, request) == ClaimAnswer::Granted {
@@ -243,7 +251,7 @@
                         prop_assert_eq!(first, attempt, "two attempts sent");
                     }
                 }
-                // An attempt that has not sent gives up.
+                // An attempt that has not sent the request releases its claim.
                 2 if sent.get(&number) != Some(&attempt) => {
                     released.insert((number, attempt));
                     state.apply(LogTime(time), &Command::Release(ClaimRelease { key, attempt: id }));
@@ -258,9 +266,9 @@
         }
     }
 
-    /// An entry that pulls updates at any time, from any version, reaches the same view.
+    /// An entry that pulls updates at any time and from any version reaches the replicated view.
     #[test]
-    fn updates_lead_every_entry_to_the_same_view(
+    fn updates_from_any_version_reach_the_same_view(
         steps in proptest::collection::vec((0..4_u8, 0..5_u64, any::<bool>()), 1..120)
     ) {
         let mut state = ClusterState::default();
@@ -286,11 +294,11 @@
             prop_assert_eq!(state.verify(), Ok(()));
             if pulls {
                 let update = state.update_since(view.version);
-                // Whoever holds nothing yet is sent the view; all others only what they lack.
-                let holds_nothing = view.version == hawthornhill_types::ViewVersion::default()
+                // Only an entry with an empty view is sent the whole view.
+                let is_empty_view = view.version == hawthornhill_types::ViewVersion::default()
                     && state.view().version > view.version;
                 let is_whole = matches!(update, ViewUpdate::Whole(_));
-                prop_assert_eq!(is_whole, holds_nothing);
+                prop_assert_eq!(is_whole, is_empty_view);
                 view.update(update);
                 prop_assert_eq!(&view, state.view());
             }
