--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -166,8 +166,8 @@
 }
 
 impl RoutingDocument {
-    /// Checks that every route is valid and refers to declared services only, and that no two routes
-    /// have the same host and prefix.
+    /// Checks that every route is valid and refers to declared services only, and that no two
+    /// routes have the same host and prefix.
     pub fn verify(&self) -> Result<(), RoutingError> {
         let services: BTreeSet<&ServiceName> =
             self.pools.iter().map(|pool| &pool.service).collect();
--- a/crates/types/src/state/claims.rs
+++ b/crates/types/src/state/claims.rs
@@ -51,7 +51,7 @@
         } else if let Some(key_time_ms) = release.key.time_ms()
             && key_time_ms + CLAIM_RETENTION_MS >= self.time.0
         {
-            // The claim may arrive after its release. This record then refuses the released attempt.
+            // The claim may arrive after its release; this record then refuses the attempt.
             let record = ClaimRecord {
                 digest: 0,
                 stage: ClaimStage::Free,
--- a/crates/types/src/view.rs
+++ b/crates/types/src/view.rs
@@ -1,7 +1,7 @@
 //! The replicated view, of which every entry holds a copy, and its changes.
 //!
-//! Each change increments the version. An entry that lags by a few versions is sent only the missing
-//! changes; an entry that lags further is sent the whole view.
+//! Each change increments the version. An entry that lags by a few versions is sent only the
+//! missing changes; an entry that lags further is sent the whole view.
 
 use crate::{
     Announcement, DocumentVersion, DomainName, EntryInfo, EntryName, RoutingDocument, RoutingPatch,
--- a/crates/types/tests/state.rs
+++ b/crates/types/tests/state.rs
@@ -229,7 +229,7 @@
 
     /// Attempts claim, release and finish in any order, also after their claims have expired; up to
     /// 100 s pass between two commands. At most one attempt that is not released may be granted: a
-    /// second one would run the request twice.
+    /// second one would run the request again.
     #[test]
     fn key_is_never_granted_to_two_attempts_that_both_send(
         steps in proptest::collection::vec((0..3_u64, 0..4_u128, 0..4_u8, 0..200_000_u64), 1..80)
