--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -1,24 +1,26 @@
-//! Which entries a caller is told to use.
+//! Selection of the entries that a caller should use.
 
 use std::{net::SocketAddr, time::Duration};
 use types::{ClusterView, DomainName, EntryInfo};
 
-/// How long callers may keep an answer of the directory; the longest that counts on the platform. A
-/// caller that cannot reach the directory waits for it up to 3 s before it uses an old answer, and
-/// one that meets an entry that has stopped goes on to the next at once.
+/// How long callers may cache an answer of the directory; the longest time that the platform
+/// honours. A caller that cannot reach the directory waits up to 3 s before it uses an old answer.
+/// A caller that finds an entry stopped tries the next one at once.
 pub const DIRECTORY_MAX_AGE: Duration = Duration::from_secs(5);
-/// The fewest entries of a caller's own failure domain that are named alone. With fewer, a caller
-/// whose only entry fails would have nowhere to go until it asks again.
+/// Minimum number of serving entries in the caller's failure domain for an answer that omits other
+/// domains. With fewer, a caller whose only entry fails would have no alternative until its next
+/// lookup.
 const MIN_LOCAL_ENTRIES: usize = 2;
 
-/// Tells callers which entries to use.
+/// Directory in which callers look up entries.
 pub trait EntryDirectory: Send + Sync {
-    /// Returns the addresses of entries for a caller in a failure domain. They may be stale.
+    /// Returns the addresses of at most `limit` entries for a caller in a failure domain. The
+    /// addresses may be stale.
     fn entries_for(&self, caller_domain: Option<&DomainName>, limit: usize) -> Vec<SocketAddr>;
 }
 
-/// Returns the addresses of at most `limit` serving entries, those of the caller's failure domain
-/// alone where there are enough of them.
+/// Returns the addresses of at most `limit` serving entries. All of them are from the caller's
+/// failure domain if it has at least `MIN_LOCAL_ENTRIES` serving entries.
 pub fn directory_entries(
     view: &ClusterView,
     caller_domain: Option<&DomainName>,
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,24 +1,24 @@
-//! Why a request to the control plane was not carried out.
+//! Errors of the control plane.
 
 use thiserror::Error;
 use types::{DomainName, RoutingError, RoutingVersion};
 
-/// Why a request was not carried out.
+/// The reason why a request to the control plane failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ControlError {
-    /// No leader decided in time; the same request may be sent again anywhere.
+    /// No leader decided in time. The same request may be sent again to any replica.
     #[error("no decision in time: {0}")]
     Unavailable(String),
     /// The routing document is not valid.
     #[error("routing document: {0}")]
     InvalidRouting(#[from] RoutingError),
-    /// Another document is in force under the same version.
+    /// A different document is in force under the same version.
     #[error("routing version {0} is in force with other content")]
     VersionTaken(RoutingVersion),
     /// No routing document has been accepted yet.
     #[error("no routing document has been accepted yet")]
     NoRouting,
-    /// The failure domain does not exist.
+    /// The failure domain is not configured.
     #[error("failure domain {0} is not known")]
     UnknownDomain(DomainName),
     /// The announcement is not valid.
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -1,4 +1,4 @@
-//! Forms the set of replicas from seeds, joins it, and replaces members that are lost.
+//! Bootstraps the set of replicas from seeds, joins it, and replaces lost members.
 
 use crate::membership::{MemberHealth, plan_member_change};
 use consensus::{Member, MemberRole, MembershipChange, ReplicaId};
@@ -14,40 +14,40 @@
 };
 use types::HostName;
 
-/// Period of the checks.
 const CHECK_PERIOD: Duration = Duration::from_millis(300);
-/// Time allowed for one change of the set.
+/// Timeout of one membership change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between reports that this replica has no set to take part in.
-const WAITING_REPORT_PERIOD: Duration = Duration::from_secs(5);
+/// Minimum time between log lines about a pending join.
+const JOIN_LOG_PERIOD: Duration = Duration::from_secs(5);
 
-/// What a keeper is started with.
+/// Settings of a [`GroupKeeper`].
 pub struct GroupSettings {
     /// Host name of this process.
     pub host: HostName,
-    /// Where other replicas reach this one.
+    /// Address at which other replicas reach this one.
     pub address: SocketAddr,
-    /// Addresses of the replicas that form a new set.
+    /// Addresses of the replicas that bootstrap a new set.
     pub seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time.
+    /// Whether the whole system starts for the first time.
     pub is_first_start: bool,
-    /// The fewest voters that must remain when a lost one is removed.
+    /// Minimum number of active voters that must remain when a lost one is removed.
     pub min_voters: usize,
 }
 
-/// Keeps this replica a member, and the set complete while this replica leads.
+/// Keeps this replica a member of the set, and replaces lost members while this replica leads.
 pub struct GroupKeeper {
     settings: GroupSettings,
     replica: ReplicaHandle,
     leader: Arc<LeaderFinder>,
     logger: Logger,
-    /// When each member was last active; kept while this replica leads.
-    active: BTreeMap<ReplicaId, Instant>,
-    reported: Option<Instant>,
+    /// When each member was last active; maintained only while this replica leads.
+    last_active: BTreeMap<ReplicaId, Instant>,
+    /// When the pending join was last logged.
+    join_logged_at: Option<Instant>,
 }
 
-/// Returns the identity of the replica at an address when the system starts for the first time, so
-/// that all seeds form the same set without talking to each other (FNV-1a).
+/// Returns the identity of a seed when the system starts for the first time: the FNV-1a hash of its
+/// address. All seeds thus bootstrap the same set without communication.
 pub fn seed_identity(address: SocketAddr) -> ReplicaId {
     let hash = address.to_string().bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -56,17 +56,24 @@
 }
 
 impl GroupKeeper {
-    /// Returns a keeper of the set that this replica belongs to.
+    /// Returns a manager for the membership of `replica`.
     pub fn new(
         settings: GroupSettings,
         replica: ReplicaHandle,
         leader: Arc<LeaderFinder>,
         logger: Logger,
     ) -> Self {
-        Self { settings, replica, leader, logger, active: BTreeMap::new(), reported: None }
+        Self {
+            settings,
+            replica,
+            leader,
+            logger,
+            last_active: BTreeMap::new(),
+            join_logged_at: None,
+        }
     }
 
-    /// Checks periodically until the timer service or the replica ends.
+    /// Checks the membership periodically until the timer service or the replica stops.
     pub async fn run(mut self, timer: TimerService) {
         let mut ticks = timer.subscribe(CHECK_PERIOD);
         loop {
@@ -84,18 +91,20 @@
         let own = status.members.iter().find(|member| member.member.id == status.id);
         match own.map(|own| own.member.role) {
             Some(MemberRole::Voter) => {}
-            Some(MemberRole::Learner) => self.change(MembershipChange::Promote(status.id)).await,
+            Some(MemberRole::Learner) => {
+                self.change_membership(MembershipChange::Promote(status.id)).await
+            }
             None if status.is_initialised => self.join(status.id).await,
-            None => self.form_or_join(status.id).await,
+            None => self.bootstrap_or_join(status.id).await,
         }
         if status.is_leader {
-            self.replace_lost(status).await;
+            self.replace_lost_member(status).await;
         } else {
-            self.active.clear();
+            self.last_active.clear();
         }
     }
 
-    async fn form_or_join(&mut self, id: ReplicaId) {
+    async fn bootstrap_or_join(&mut self, id: ReplicaId) {
         let is_seed = self.settings.seeds.contains(&self.settings.address);
         if !(self.settings.is_first_start && is_seed) {
             self.join(id).await;
@@ -115,50 +124,51 @@
     }
 
     async fn join(&mut self, id: ReplicaId) {
-        if self.reported.is_none_or(|reported| reported.elapsed() > WAITING_REPORT_PERIOD) {
-            self.reported = Some(Instant::now());
+        if self.join_logged_at.is_none_or(|logged_at| logged_at.elapsed() > JOIN_LOG_PERIOD) {
+            self.join_logged_at = Some(Instant::now());
             info!(self.logger, "asking to join the set of replicas"; "id" => %id);
         }
         let (host, address) = (self.settings.host.clone(), self.settings.address);
         let member = Member { id, host, address, role: MemberRole::Learner };
-        self.change(MembershipChange::AddLearner(member)).await;
+        self.change_membership(MembershipChange::AddLearner(member)).await;
     }
 
-    async fn replace_lost(&mut self, status: &ReplicaStatus) {
+    async fn replace_lost_member(&mut self, status: &ReplicaStatus) {
         let now = Instant::now();
-        self.active.retain(|id, _| status.members.iter().any(|m| m.member.id == *id));
+        self.last_active.retain(|id, _| status.members.iter().any(|m| m.member.id == *id));
         let mut members = Vec::with_capacity(status.members.len());
         for member in &status.members {
             let is_self = member.member.id == status.id;
-            let seen = self.active.entry(member.member.id).or_insert(now);
+            let last_active = self.last_active.entry(member.member.id).or_insert(now);
             if is_self || member.is_active == Some(true) {
-                *seen = now;
+                *last_active = now;
             }
-            let silence = now.saturating_duration_since(*seen);
-            members.push(MemberHealth { status: member.clone(), silence });
+            let inactive_for = now.saturating_duration_since(*last_active);
+            members.push(MemberHealth { status: member.clone(), inactive_for });
         }
         if let Some(change) = plan_member_change(&members, self.settings.min_voters) {
             info!(self.logger, "replacing a lost member"; "change" => format!("{change:?}"),
                 "members" => members.len());
-            self.change(change).await;
+            self.change_membership(change).await;
         }
     }
 
-    async fn change(&self, change: MembershipChange) {
+    async fn change_membership(&self, change: MembershipChange) {
         let text = format!("{change:?}");
         let deadline = Instant::now() + CHANGE_TIMEOUT;
         match self.leader.change_membership(change, deadline).await {
             SubmitResult::Applied(_) => {
                 info!(self.logger, "set of replicas changes"; "change" => text);
             }
-            // Refused while another change is in progress; asked again at the next check.
+            // Refused while another change is in progress; retried at the next check.
             SubmitResult::Refused(_) | SubmitResult::Unknown => {}
         }
     }
 }
 
-/// Returns the host name that stands for a seed, of which only the address is known.
+/// Returns a placeholder host name for a seed, of which only the address is known.
 fn seed_host(address: SocketAddr) -> HostName {
     let text = address.ip().to_string().replace(':', "-");
-    text.parse().unwrap_or_else(|_| unreachable!("an IP number is a valid host name"))
+    text.parse()
+        .unwrap_or_else(|_| unreachable!("the IP address of a seed is always a valid host name"))
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,14 +1,15 @@
-//! What replicas do for operators, servers and callers who ask where to connect.
+//! The control plane that replicas provide to operators, servers and callers that look up entries.
 //!
-//! Orders and changes of the registry go through the leader; an answer is given only once they are
-//! in the replicated log. The set of replicas forms itself from seeds and repairs itself.
+//! Commands of operators and changes of the registry go through the leader and are answered only
+//! once they are in the replicated log. The set of replicas bootstraps from seeds and replaces lost
+//! members.
 
 mod directory;
 mod error;
 mod group;
+mod liveness;
 mod membership;
 mod plane;
-mod sightings;
 
 pub use directory::{DIRECTORY_MAX_AGE, EntryDirectory, directory_entries};
 pub use error::ControlError;
--- a/crates/control/src/liveness.rs
+++ b/crates/control/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Collects which servers announced themselves here, and reports them to the leader.
+//! Records which servers announce themselves to this replica and reports them to the leader.
 
 use follow::LeaderFinder;
 use parking_lot::Mutex;
@@ -7,23 +7,23 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use types::{Announcement, ServerIncarnation, ServerName};
 
-/// Period of reports; a fraction of the lease of a server.
+/// Period of the reports; a fraction of a server's lease.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Servers heard of since the last report.
+/// Servers that announced themselves since the last report.
 #[derive(Default)]
-pub(crate) struct SightingBatch {
+pub(crate) struct LivenessReporter {
     servers: Mutex<BTreeMap<ServerName, ServerIncarnation>>,
 }
 
-impl SightingBatch {
-    /// Notes an announcement that changed nothing but shows that its server is alive.
-    pub(crate) fn note(&self, announcement: &Announcement) {
+impl LivenessReporter {
+    /// Records that a server is alive, also if its announcement changes nothing.
+    pub(crate) fn record(&self, announcement: &Announcement) {
         self.servers.lock().insert(announcement.server.clone(), announcement.incarnation);
     }
 
-    /// Reports to the leader periodically until the timer service ends. Without a leader the batch
-    /// is kept for the next period.
+    /// Reports to the leader periodically until the timer service stops. Without a leader, the
+    /// servers are kept for the next report.
     pub(crate) async fn run(
         self: Arc<Self>,
         leader: Arc<LeaderFinder>,
@@ -35,9 +35,9 @@
             let Some(target) = leader.leader() else {
                 continue;
             };
-            let batch = std::mem::take(&mut *self.servers.lock());
-            if !batch.is_empty() {
-                link.send(&target, PeerRequest::ServersSeen(batch.into_iter().collect()));
+            let servers = std::mem::take(&mut *self.servers.lock());
+            if !servers.is_empty() {
+                link.send(&target, PeerRequest::ServersSeen(servers.into_iter().collect()));
             }
         }
     }
--- a/crates/control/src/plane.rs
+++ b/crates/control/src/plane.rs
@@ -1,6 +1,6 @@
-//! The control plane at its border, and its implementation over a replica.
+//! The interface of the control plane and its implementation on top of a replica.
 
-use crate::{ControlError, EntryDirectory, directory_entries, sightings::SightingBatch};
+use crate::{ControlError, EntryDirectory, directory_entries, liveness::LivenessReporter};
 use async_trait::async_trait;
 use follow::{LeaderFinder, SubmitResult};
 use peer::{PeerLink, SubmitAnswer};
@@ -19,52 +19,54 @@
     RoutingDocument, RoutingVersion, ServerName, ServerState, SourceText,
 };
 
-/// Time allowed for a decision. Callers of the control plane wait a second for an answer.
+/// Timeout of a decision. Clients of the control plane wait 1 s for an answer.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time within which a replica is expected to apply what its leader has confirmed.
+/// Timeout for the local replica to apply what the leader has confirmed.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Period at which a replica looks whether it has.
+/// Polling interval during [`APPLY_TIMEOUT`].
 const APPLY_CHECK_PERIOD: Duration = Duration::from_millis(10);
 
-/// What operators, servers and callers may ask of a replica.
+/// Requests that operators and servers may send to a replica.
 #[async_trait]
 pub trait ControlPlane: Send + Sync {
-    /// Registers a server or changes its state. Success of an announcement that it is leaving means
-    /// that the registry holds it.
+    /// Registers a server or changes its state. If the server announces that it is leaving, success
+    /// means that the registry holds this state.
     async fn announce(&self, announcement: Announcement) -> Result<AnnounceDecision, ControlError>;
 
-    /// Removes a server that is gone.
+    /// Removes a departed server.
     async fn depart(&self, server: ServerName) -> Result<(), ControlError>;
 
-    /// Puts a routing document, with its text as the operator sent it, in force, unless a higher
-    /// version is.
+    /// Puts a routing document in force, unless a higher version is in force. `source` is its text
+    /// as the operator sent it. Returns the version in force.
     async fn put_routing(
         &self,
         document: RoutingDocument,
         source: SourceText,
     ) -> Result<RoutingVersion, ControlError>;
 
-    /// Returns the text of the routing document in force as of now, confirmed by a quorum.
+    /// Returns the text of the routing document currently in force, as confirmed by a quorum.
     async fn read_routing(&self) -> Result<SourceText, ControlError>;
 
     /// Takes a failure domain out of service (`true`) or brings it back.
     async fn set_drain(&self, domain: DomainName, is_drained: bool) -> Result<(), ControlError>;
 }
 
-/// The control plane of a replica: decides through the leader, wherever that is.
+/// The control plane of a replica, which submits every decision to the leader, local or remote.
 pub struct ReplicaControl {
     replica: ReplicaHandle,
     leader: Arc<LeaderFinder>,
-    sightings: Arc<SightingBatch>,
+    liveness: Arc<LivenessReporter>,
     domains: BTreeSet<DomainName>,
     counters: DecisionCounters,
     logger: Logger,
 }
 
 impl ReplicaControl {
-    /// Returns the control plane over a replica, for a system in these failure domains, and starts
-    /// its reports to the leader.
+    /// Returns the control plane of a replica and starts its liveness reports to the leader.
+    ///
+    /// Announcements and drains of failure domains that are not in `domains` are refused. If it
+    /// is empty, every failure domain is accepted.
     pub fn start(
         replica: ReplicaHandle,
         leader: Arc<LeaderFinder>,
@@ -74,14 +76,14 @@
         counters: DecisionCounters,
         logger: Logger,
     ) -> Arc<Self> {
-        let sightings = Arc::new(SightingBatch::default());
-        tokio::spawn(sightings.clone().run(leader.clone(), link, timer));
-        Arc::new(Self { replica, leader, sightings, domains, counters, logger })
+        let liveness = Arc::new(LivenessReporter::default());
+        tokio::spawn(liveness.clone().run(leader.clone(), link, timer));
+        Arc::new(Self { replica, leader, liveness, domains, counters, logger })
     }
 
     async fn submit(&self, command: Command) -> Result<CommandAnswer, ControlError> {
         let deadline = Instant::now() + DECISION_TIMEOUT;
-        // The local replica says at once if it does not lead.
+        // The local replica answers immediately if it is not the leader.
         let local = tokio::time::timeout(DECISION_TIMEOUT, self.replica.submit(command.clone()));
         match local.await {
             Ok(SubmitAnswer::Applied(answer)) => return Ok(answer),
@@ -98,8 +100,9 @@
         }
     }
 
-    /// Refuses announcements that name what does not exist, before they reach the log.
-    fn check_names(&self, announcement: &Announcement) -> Result<(), ControlError> {
+    /// Refuses announcements with invalid values, of unknown failure domains, or of a registered
+    /// server with an undeclared service, before they reach the log.
+    fn check_announcement(&self, announcement: &Announcement) -> Result<(), ControlError> {
         let invalid = ControlError::InvalidAnnouncement;
         announcement.verify().map_err(|error| invalid(error.to_string()))?;
         if !self.domains.is_empty() && !self.domains.contains(&announcement.domain) {
@@ -127,21 +130,21 @@
 #[async_trait]
 impl ControlPlane for ReplicaControl {
     async fn announce(&self, announcement: Announcement) -> Result<AnnounceDecision, ControlError> {
-        if let Err(error) = self.check_names(&announcement) {
+        if let Err(error) = self.check_announcement(&announcement) {
             self.counters.count("announcement-invalid");
             self.log_announcement(&announcement, &error.to_string());
             return Err(error);
         }
-        self.sightings.note(&announcement);
+        self.liveness.record(&announcement);
         let view = self.replica.view();
-        let is_known = view.server(&announcement.server).is_some_and(|held| {
-            held.incarnation == announcement.incarnation
-                && held.service == announcement.service
-                && held.address == announcement.address
-                && held.domain == announcement.domain
-                && (held.state == announcement.state || held.state == ServerState::Leaving)
+        let is_registered = view.server(&announcement.server).is_some_and(|server| {
+            server.incarnation == announcement.incarnation
+                && server.service == announcement.service
+                && server.address == announcement.address
+                && server.domain == announcement.domain
+                && (server.state == announcement.state || server.state == ServerState::Leaving)
         });
-        if is_known {
+        if is_registered {
             self.counters.count("announcement-known");
             return Ok(AnnounceDecision::Registered);
         }
@@ -149,7 +152,7 @@
         let result = self.submit(command).await;
         let decision = match result {
             Ok(CommandAnswer::Announce(decision)) => decision,
-            Ok(_) => return Err(unexpected()),
+            Ok(_) => return Err(unexpected_answer()),
             Err(error) => {
                 self.counters.count("announcement-undecided");
                 self.log_announcement(&announcement, &error.to_string());
@@ -190,18 +193,18 @@
         let result = self.submit(Command::PutRouting(Arc::new(document), source)).await;
         let result = match result {
             Ok(CommandAnswer::Routing(RoutingDecision::InForce)) => Ok(version),
-            Ok(CommandAnswer::Routing(RoutingDecision::Superseded(held))) => Ok(held),
+            Ok(CommandAnswer::Routing(RoutingDecision::Superseded(current))) => Ok(current),
             Ok(CommandAnswer::Routing(RoutingDecision::OtherContent)) => {
                 Err(ControlError::VersionTaken(version))
             }
-            Ok(_) => Err(unexpected()),
+            Ok(_) => Err(unexpected_answer()),
             Err(error) => Err(error),
         };
         self.counters.count(if result.is_ok() { "routing-taken" } else { "routing-not-taken" });
-        let held = result.as_ref().map_or(0, |held| held.0);
+        let in_force = result.as_ref().map_or(0, |version| version.0);
         let outcome = outcome_text(&result);
         info!(self.logger, "routing"; "version" => version.0, "routes" => routes,
-            "in_force" => held, "outcome" => outcome);
+            "in_force" => in_force, "outcome" => outcome);
         result
     }
 
@@ -211,7 +214,7 @@
         let view = view
             .ok_or_else(|| ControlError::Unavailable("no leader confirmed the read".to_owned()))?;
         let version = view.routing().ok_or(ControlError::NoRouting)?.version;
-        // The text is not part of what the leader confirms; this replica may still lack it.
+        // The confirmed view does not contain the text, which this replica may not have yet.
         let deadline = Instant::now() + APPLY_TIMEOUT;
         loop {
             if let Some(source) = self.replica.routing_source(version) {
@@ -252,6 +255,6 @@
     }
 }
 
-fn unexpected() -> ControlError {
+fn unexpected_answer() -> ControlError {
     ControlError::Unavailable("the leader answered another command".to_owned())
 }
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -1,4 +1,5 @@
-//! The set of replicas forms itself from seeds over real links and disks, and repairs itself.
+//! Membership of the set of replicas over real connections and disks: bootstrap from seeds, a later
+//! join, and replacement of a replica that lost its disk.
 
 use consensus::{CoreSettings, MemberRole, ReplicaId};
 use follow::LeaderFinder;
@@ -17,20 +18,21 @@
 use tokio::{net::TcpListener, task::JoinHandle, time::sleep};
 use types::HostName;
 
-/// Longest wait for a change; far above what it takes, since only the change counts.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of a wait for a membership change; far above the usual time, since the test checks only
+/// that the change happens.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
-struct ReplicaOnly(ReplicaHandle);
+struct ReplicaPeerHandler(ReplicaHandle);
 
 #[async_trait::async_trait]
-impl PeerHandler for ReplicaOnly {
+impl PeerHandler for ReplicaPeerHandler {
     async fn handle(&self, host: &HostName, request: PeerRequest) -> PeerAnswer {
         let answer = self.0.handle(host, request).await;
         answer.unwrap_or_else(|| PeerAnswer::Refused("not for a replica".to_owned()))
     }
 }
 
-/// One replica with its keeper, as a process would run them.
+/// One replica with its membership manager, as a process runs them.
 struct TestReplica {
     handle: ReplicaHandle,
     server: JoinHandle<()>,
@@ -66,7 +68,8 @@
             logger: logger.clone(),
         };
         let handle = start_replica(settings, Box::new(store), restored).expect("started");
-        let server = tokio::spawn(node.serve(listener, Arc::new(ReplicaOnly(handle.clone()))));
+        let server =
+            tokio::spawn(node.serve(listener, Arc::new(ReplicaPeerHandler(handle.clone()))));
         let group = GroupSettings {
             host,
             address,
@@ -99,7 +102,7 @@
         if voters == count && status.members.len() == count && is_gone {
             return;
         }
-        assert!(started.elapsed() < LIMIT, "{:?}", status.members);
+        assert!(started.elapsed() < CHANGE_TIMEOUT, "{:?}", status.members);
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -108,8 +111,9 @@
     TcpListener::bind("127.0.0.1:0").await.expect("a free port")
 }
 
+/// The replacement of the lost disk fails if the previous identity of the replica remains a member.
 #[tokio::test]
-async fn seeds_form_a_set_that_others_join_and_that_replaces_a_lost_disk() {
+async fn seeds_bootstrap_a_set_that_a_replica_joins_and_that_replaces_a_lost_disk() {
     let folders = tempfile::tempdir().expect("a folder");
     let mut listeners = Vec::new();
     for _ in 0..4 {
@@ -127,19 +131,19 @@
     }
     // The last seed loses its disk and starts again at its address.
     let lost = replicas.remove(2);
-    let (former, address) = (lost.status().await.id, seeds[2]);
+    let (lost_id, address) = (lost.status().await.id, seeds[2]);
     lost.stop().await;
     let started = Instant::now();
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
-            Err(error) => assert!(started.elapsed() < LIMIT, "{error}"),
+            Err(error) => assert!(started.elapsed() < CHANGE_TIMEOUT, "{error}"),
         }
         sleep(Duration::from_millis(20)).await;
     };
     let folder = folders.path().join("empty");
     replicas.push(TestReplica::start(listener, &seeds, &folder, false));
     for replica in &replicas {
-        wait_for_voters(replica, 4, Some(former)).await;
+        wait_for_voters(replica, 4, Some(lost_id)).await;
     }
 }
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which member is replaced next, and which entries callers are told of.
+//! Selection of the member to replace next, and of the entries that a caller should use.
 
 use consensus::{Member, MemberRole, MembershipChange, ReplicaId};
 use hawthornhill_control::{MemberHealth, directory_entries, plan_member_change};
@@ -6,16 +6,16 @@
 use std::{net::SocketAddr, time::Duration};
 use types::{ClusterState, Command, EntryIncarnation, EntryInfo, LogTime};
 
-fn member(id: u64, port: u16, role: MemberRole, silent_s: u64) -> MemberHealth {
+fn member(id: u64, port: u16, role: MemberRole, inactive_s: u64) -> MemberHealth {
     let address = SocketAddr::from(([10, 0, 0, 1], port));
     let host = format!("core-{id}").parse().expect("name");
     let member = Member { id: ReplicaId(id), host, address, role };
-    let status = MemberStatus { member, lag: Some(0), is_active: Some(silent_s == 0) };
-    MemberHealth { status, silence: Duration::from_secs(silent_s) }
+    let status = MemberStatus { member, lag: Some(0), is_active: Some(inactive_s == 0) };
+    MemberHealth { status, inactive_for: Duration::from_secs(inactive_s) }
 }
 
-fn voters(silences: &[u64]) -> Vec<MemberHealth> {
-    let numbered = silences.iter().enumerate();
+fn voters(inactive_times: &[u64]) -> Vec<MemberHealth> {
+    let numbered = inactive_times.iter().enumerate();
     numbered.map(|(n, s)| member(n as u64, n as u16 + 1, MemberRole::Voter, *s)).collect()
 }
 
@@ -23,44 +23,47 @@
     Some(MembershipChange::Remove(ReplicaId(id)))
 }
 
+/// A voter must not be removed during a restart, nor if too few active voters would remain.
 #[test]
-fn voter_is_removed_only_after_a_long_silence_and_while_enough_others_are_active() {
+fn voter_is_removed_only_after_the_loss_timeout_and_while_enough_others_are_active() {
     assert_eq!(plan_member_change(&voters(&[0, 0, 0, 0, 0]), 3), None);
     assert_eq!(plan_member_change(&voters(&[0, 0, 0, 0, 5]), 3), None);
     assert_eq!(plan_member_change(&voters(&[0, 0, 0, 0, 9]), 3), remove(4));
-    // Two lost: the first may go, since three of the four that remain are active.
+    // Two voters are lost. The first may be removed, since three of the four others are active.
     assert_eq!(plan_member_change(&voters(&[0, 0, 0, 9, 9]), 3), remove(3));
-    // Three voters are the least where one loss must be borne.
+    // Three voters must remain, since fewer would not tolerate the loss of one.
     assert_eq!(plan_member_change(&voters(&[0, 0, 9]), 3), None);
     assert_eq!(plan_member_change(&voters(&[0, 0, 0, 9, 9]), 5), None);
     assert_eq!(plan_member_change(&voters(&[0, 9, 9, 9, 9]), 1), None);
 }
 
+/// A replica that restarts without its disk has a new identity; the previous one never returns.
 #[test]
 fn voter_whose_disk_was_lost_is_replaced_by_the_learner_at_its_address() {
     let mut members = voters(&[0, 0, 0, 0, 2]);
     members.push(member(9, 5, MemberRole::Learner, 0));
     assert_eq!(plan_member_change(&members, 3), remove(4));
-    // Where three voters must remain, the new one is promoted first; the former goes right after.
+    // If three voters must remain, the learner is promoted before the lost voter is removed.
     let mut three = voters(&[0, 0, 2]);
     three.push(member(9, 3, MemberRole::Learner, 0));
     assert_eq!(plan_member_change(&three, 3), None);
     three[3] = member(9, 3, MemberRole::Voter, 0);
     assert_eq!(plan_member_change(&three, 3), remove(2));
-    // A learner at another address replaces nobody.
+    // A learner at another address does not replace a voter.
     members[5] = member(9, 77, MemberRole::Learner, 0);
     assert_eq!(plan_member_change(&members, 3), None);
 }
 
 #[test]
-fn learner_that_does_not_come_back_is_forgotten() {
+fn learner_inactive_beyond_its_timeout_is_removed() {
     let mut members = voters(&[0, 0, 0]);
     members.push(member(9, 77, MemberRole::Learner, 21));
     assert_eq!(plan_member_change(&members, 3), remove(9));
 }
 
+/// A caller that knows a single entry would have no alternative when that entry fails.
 #[test]
-fn directory_prefers_the_callers_domain_where_it_has_two_entries() {
+fn directory_returns_only_the_callers_domain_if_it_has_two_serving_entries() {
     let mut state = ClusterState::default();
     let mut put = |name: &str, domain: &str, port: u16, serving: bool| {
         let address = SocketAddr::from(([10, 0, 0, 2], port));
