--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -20,7 +20,7 @@
 /// Minimum time between log lines about a pending join.
 const JOIN_LOG_PERIOD: Duration = Duration::from_secs(5);
 
-/// Settings of a [`GroupKeeper`].
+/// Settings of a [`MembershipManager`].
 pub struct GroupSettings {
     /// Host name of this process.
     pub host: HostName,
@@ -35,7 +35,7 @@
 }
 
 /// Keeps this replica a member of the set, and replaces lost members while this replica leads.
-pub struct GroupKeeper {
+pub struct MembershipManager {
     settings: GroupSettings,
     replica: ReplicaHandle,
     leader: Arc<LeaderFinder>,
@@ -55,7 +55,7 @@
     ReplicaId(hash)
 }
 
-impl GroupKeeper {
+impl MembershipManager {
     /// Returns a manager for the membership of `replica`.
     pub fn new(
         settings: GroupSettings,
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -3,7 +3,7 @@
 
 use consensus::{CoreSettings, MemberRole, ReplicaId};
 use follow::LeaderFinder;
-use hawthornhill_control::{GroupKeeper, GroupSettings, seed_identity};
+use hawthornhill_control::{GroupSettings, MembershipManager, seed_identity};
 use peer::{PeerAnswer, PeerHandler, PeerLink, PeerRequest, PeerTarget, StreamNode};
 use replica::{
     FileStore, LEADER_WAIT, ReplicaHandle, ReplicaSettings, ReplicaStatus, start_replica,
@@ -36,7 +36,7 @@
 struct TestReplica {
     handle: ReplicaHandle,
     server: JoinHandle<()>,
-    keeper: JoinHandle<()>,
+    manager: JoinHandle<()>,
 }
 
 impl TestReplica {
@@ -77,9 +77,9 @@
             is_first_start: is_first,
             min_voters: 3,
         };
-        let keeper = GroupKeeper::new(group, handle.clone(), leader, logger);
-        let keeper = tokio::spawn(keeper.run(timer));
-        Self { handle, server, keeper }
+        let manager = MembershipManager::new(group, handle.clone(), leader, logger);
+        let manager = tokio::spawn(manager.run(timer));
+        Self { handle, server, manager }
     }
 
     async fn status(&self) -> ReplicaStatus {
@@ -87,7 +87,7 @@
     }
 
     async fn stop(self) {
-        self.keeper.abort();
+        self.manager.abort();
         self.server.abort();
         self.handle.stop().await;
     }
--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -4,7 +4,8 @@
 use anyhow::{Context, Result};
 use consensus::{CoreSettings, ReplicaId};
 use control::{
-    EntryDirectory, GroupKeeper, GroupSettings, ReplicaControl, directory_entries, seed_identity,
+    EntryDirectory, GroupSettings, MembershipManager, ReplicaControl, directory_entries,
+    seed_identity,
 };
 use follow::LeaderFinder;
 use gateway::{GatewayNode, GatewaySettings, GatewayTools};
@@ -214,8 +215,12 @@
             is_first_start: settings.is_first_start,
             min_voters: 2 * settings.tolerated_losses + 1,
         };
-        let keeper =
-            GroupKeeper::new(group, replica.clone(), self.leader.clone(), self.logger.clone());
+        let keeper = MembershipManager::new(
+            group,
+            replica.clone(),
+            self.leader.clone(),
+            self.logger.clone(),
+        );
         tokio::spawn(keeper.run(self.timer.clone()));
         let plane = ReplicaControl::start(
             replica.clone(),
