--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -21,7 +21,7 @@
 const JOIN_LOG_PERIOD: Duration = Duration::from_secs(5);
 
 /// Settings of a [`MembershipManager`].
-pub struct GroupSettings {
+pub struct MembershipSettings {
     /// Host name of this process.
     pub host: HostName,
     /// Address at which other replicas reach this one.
@@ -36,7 +36,7 @@
 
 /// Keeps this replica a member of the set, and replaces lost members while this replica leads.
 pub struct MembershipManager {
-    settings: GroupSettings,
+    settings: MembershipSettings,
     replica: ReplicaHandle,
     leader: Arc<LeaderFinder>,
     logger: Logger,
@@ -58,7 +58,7 @@
 impl MembershipManager {
     /// Returns a manager for the membership of `replica`.
     pub fn new(
-        settings: GroupSettings,
+        settings: MembershipSettings,
         replica: ReplicaHandle,
         leader: Arc<LeaderFinder>,
         logger: Logger,
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -3,7 +3,7 @@
 
 use consensus::{CoreSettings, MemberRole, ReplicaId};
 use follow::LeaderFinder;
-use hawthornhill_control::{GroupSettings, MembershipManager, seed_identity};
+use hawthornhill_control::{MembershipManager, MembershipSettings, seed_identity};
 use peer::{PeerAnswer, PeerHandler, PeerLink, PeerRequest, PeerTarget, StreamNode};
 use replica::{
     FileStore, LEADER_WAIT, ReplicaHandle, ReplicaSettings, ReplicaStatus, start_replica,
@@ -70,7 +70,7 @@
         let handle = start_replica(settings, Box::new(store), restored).expect("started");
         let server =
             tokio::spawn(node.serve(listener, Arc::new(ReplicaPeerHandler(handle.clone()))));
-        let group = GroupSettings {
+        let group = MembershipSettings {
             host,
             address,
             seeds: seeds.to_vec(),
--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -4,7 +4,7 @@
 use anyhow::{Context, Result};
 use consensus::{CoreSettings, ReplicaId};
 use control::{
-    EntryDirectory, GroupSettings, MembershipManager, ReplicaControl, directory_entries,
+    EntryDirectory, MembershipManager, MembershipSettings, ReplicaControl, directory_entries,
     seed_identity,
 };
 use follow::LeaderFinder;
@@ -208,7 +208,7 @@
         let replica = start_replica(replica_settings, Box::new(store), restored)?;
         // The cell is empty: each role is started once.
         let _ = self.roles.replica.set(replica.clone());
-        let group = GroupSettings {
+        let group = MembershipSettings {
             host: settings.host.clone(),
             address: settings.peer_address(),
             seeds: settings.seeds.clone(),
