--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -135,7 +135,7 @@
             let answer = GatewayAnswer::own(StatusCode::NOT_FOUND, "no route for host and path");
             return self.finish_unrouted(&terms, "no-route", answer);
         };
-        let service = route.part_for(rand::random());
+        let service = route.pick_service(rand::random());
         let Some(pool) = service.and_then(|service| routes.document.pool(service)).cloned() else {
             let answer = GatewayAnswer::own(StatusCode::NOT_FOUND, "the route has no service");
             return self.finish_unrouted(&terms, "no-service", answer);
--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -244,7 +244,7 @@
     }
 
     /// Selects the service of a request by weight. `draw` is a uniform random number from 0 to 1.
-    pub fn part_for(&self, draw: f64) -> Option<&ServiceName> {
+    pub fn pick_service(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.parts.iter().map(|part| part.weight).sum();
         let mut remaining = draw.clamp(0.0, 1.0) * f64::from(total);
         for part in self.parts.iter().filter(|part| part.weight > 0) {
--- a/crates/types/tests/routing.rs
+++ b/crates/types/tests/routing.rs
@@ -148,8 +148,9 @@
     let mut split = route("a", "/a/", "desk");
     split.parts[0].weight = 90;
     split.parts.push(RoutePart { service: "archive".parse().expect("name"), weight: 10 });
-    let archive = (0..1_000)
-        .filter(|n| split.part_for(f64::from(*n) / 1_000.0).map(|s| s.as_str()) == Some("archive"));
+    let archive = (0..1_000).filter(|n| {
+        split.pick_service(f64::from(*n) / 1_000.0).map(|s| s.as_str()) == Some("archive")
+    });
     assert_eq!(archive.count(), 100);
 }
 
