--- a/crates/caller/src/intake.rs
+++ b/crates/caller/src/intake.rs
@@ -166,7 +166,7 @@
             bad(format!("body: {error}"))
         }
     })?;
-    let headers = HeaderField::passed_on(&parts.headers, HOP_HEADERS);
+    let headers = HeaderField::all_except(&parts.headers, HOP_HEADERS);
     Ok(CallRequest {
         id: id.unwrap_or_else(Uuid::now_v7),
         service,
--- a/crates/server/src/connection.rs
+++ b/crates/server/src/connection.rs
@@ -121,7 +121,7 @@
         }
     })?;
     let text = |name: &str| parts.headers.get(name).and_then(|value| value.to_str().ok());
-    let headers = HeaderField::passed_on(&parts.headers, HOP_HEADERS);
+    let headers = HeaderField::all_except(&parts.headers, HOP_HEADERS);
     Ok(ServerAnswer {
         status: parts.status.as_u16(),
         headers,
--- a/crates/types/src/call.rs
+++ b/crates/types/src/call.rs
@@ -38,7 +38,7 @@
 
 impl HeaderField {
     /// Returns all fields except those in `dropped`, a list of lower-case names.
-    pub fn passed_on(headers: &HeaderMap, dropped: &[&str]) -> Vec<Self> {
+    pub fn all_except(headers: &HeaderMap, dropped: &[&str]) -> Vec<Self> {
         let kept = headers.iter().filter(|(name, _)| !dropped.contains(&name.as_str()));
         let field = |(name, value): (&HeaderName, &HeaderValue)| Self {
             name: name.as_str().to_owned(),
