--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -21,7 +21,7 @@
     time::{Duration, Instant},
 };
 use types::{
-    Announcement, ClusterView, EntryInfo, EntryName, HostName, OwnerBeat, RegistryChange,
+    Announcement, ClusterView, EntryInfo, EntryName, HostName, OwnerHeartbeat, RegistryChange,
     RegistryDelta, RegistryRequest, ServerIncarnation, ServerName, ServerRecord, ServerStage,
     ServiceName, ShardOwnerId, SuspectKind, SuspectReport,
 };
@@ -110,7 +110,7 @@
     }
 
     /// Takes a beat in.
-    pub(crate) fn observe_beat(&self, host: &HostName, beat: &OwnerBeat) {
+    pub(crate) fn observe_beat(&self, host: &HostName, beat: &OwnerHeartbeat) {
         if beat.owner.entry.as_str() != host.as_str() {
             self.context.counters.servers.count("beat-refused");
             return;
--- a/crates/entry/src/owned_shards.rs
+++ b/crates/entry/src/owned_shards.rs
@@ -9,9 +9,9 @@
     time::{Duration, Instant},
 };
 use types::{
-    Announcement, ClusterView, FRESHNESS_LIMIT, OwnerBeat, RangeIndex, RangeLease, RegistryDelta,
-    RegistryRequest, ServerIncarnation, ServerName, ServerRecord, ServerStage, ServiceName,
-    SuspectReport, server_range,
+    Announcement, ClusterView, FRESHNESS_LIMIT, OwnerHeartbeat, RangeIndex, RangeLease,
+    RegistryDelta, RegistryRequest, ServerIncarnation, ServerName, ServerRecord, ServerStage,
+    ServiceName, SuspectReport, server_range,
 };
 
 /// A range that this entry looks after.
@@ -102,9 +102,9 @@
         expired
     }
 
-    pub(crate) fn beat(&self) -> OwnerBeat {
+    pub(crate) fn beat(&self) -> OwnerHeartbeat {
         let registry = self.registry.lock();
-        OwnerBeat { owner: registry.owner().clone(), version: registry.version() }
+        OwnerHeartbeat { owner: registry.owner().clone(), version: registry.version() }
     }
 
     pub(crate) fn delta(&self, request: &RegistryRequest) -> RegistryDelta {
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use types::{
     Announcement, CallAnswer, CallRequest, Command, CommandAnswer, DomainName, EntryInfo,
-    EntryName, HostName, OwnerBeat, RegistryDelta, RegistryRequest, ServerIncarnation, ServerName,
-    SuspectReport, ViewChange, ViewUpdate, ViewVersion,
+    EntryName, HostName, OwnerHeartbeat, RegistryDelta, RegistryRequest, ServerIncarnation,
+    ServerName, SuspectReport, ViewChange, ViewUpdate, ViewVersion,
 };
 
 /// A request, or a message without answer.
@@ -23,7 +23,7 @@
     /// Asks the leader to change the set of replicas.
     ChangeMembership(MembershipChange),
     /// A shard owner shows that it is alive; has no answer.
-    Beat(OwnerBeat),
+    Beat(OwnerHeartbeat),
     /// Asks a shard owner for changes of its registry.
     Registry(RegistryRequest),
     /// Passes an announcement on to the server's owner.
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -9,7 +9,7 @@
 use types::{
     Announcement, CallAnswer, CallOutcome, CallRequest, ChangeAction, ChangeAnswer, ChangeId,
     ChangeRequest, ClaimAnswer, ClusterView, Command, CommandAnswer, DocumentVersion,
-    EntryIncarnation, HeaderField, OwnerBeat, RefusalKind, RegistryVersion, ServerIncarnation,
+    EntryIncarnation, HeaderField, OwnerHeartbeat, RefusalKind, RegistryVersion, ServerIncarnation,
     ServerState, ServiceSpec, ShardOwnerId, SuspectKind, SuspectReport, TeamDocument, ViewUpdate,
 };
 use uuid::Uuid;
@@ -34,7 +34,7 @@
     vec![
         PeerRequest::Submit(Command::Change(change)),
         PeerRequest::Submit(Command::BalanceRanges),
-        PeerRequest::Beat(OwnerBeat { owner, version: RegistryVersion(3) }),
+        PeerRequest::Beat(OwnerHeartbeat { owner, version: RegistryVersion(3) }),
         PeerRequest::Suspect(SuspectReport {
             server: name("x"),
             incarnation: ServerIncarnation(1),
--- a/crates/policy/src/directory.rs
+++ b/crates/policy/src/directory.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 use types::{
-    ClusterView, EntryIncarnation, EntryName, OwnerBeat, RegistryChange, RegistryDelta,
+    ClusterView, EntryIncarnation, EntryName, OwnerHeartbeat, RegistryChange, RegistryDelta,
     RegistryRequest, RegistryVersion, ServerName, ServerRecord, ServerStage, ServiceName,
 };
 
@@ -42,7 +42,7 @@
 
 impl ServerDirectory {
     /// Takes a beat in. Returns the request to pull with if this entry is behind.
-    pub fn observe_beat(&mut self, beat: &OwnerBeat, now: Instant) -> Option<RegistryRequest> {
+    pub fn observe_beat(&mut self, beat: &OwnerHeartbeat, now: Instant) -> Option<RegistryRequest> {
         let account = self
             .accounts
             .get_mut(&beat.owner.entry)
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -124,7 +124,8 @@
 }
 
 fn pull(directory: &mut ServerDirectory, registry: &ServerRegistry, now: Instant) {
-    let beat = types::OwnerBeat { owner: registry.owner().clone(), version: registry.version() };
+    let beat =
+        types::OwnerHeartbeat { owner: registry.owner().clone(), version: registry.version() };
     while let Some(request) = directory.observe_beat(&beat, now) {
         directory.apply(&registry.delta(&request), now);
     }
@@ -195,7 +196,7 @@
                 3 => { registry.mark_warm(&name(&server), ServerIncarnation(1)); }
                 4 => { registry.expire(now); }
                 _ => {
-                    let beat = types::OwnerBeat { owner: registry.owner().clone(), version: registry.version() };
+                    let beat = types::OwnerHeartbeat { owner: registry.owner().clone(), version: registry.version() };
                     if let Some(request) = directory.observe_beat(&beat, now) && !loses {
                         directory.apply(&registry.delta(&request), now);
                     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -30,7 +30,7 @@
 pub use names::{DomainName, EntryName, HostName, NameError, ServerName, ServiceName, TeamName};
 pub use outcome::CallOutcome;
 pub use registry::{
-    OwnerBeat, RegistryChange, RegistryDelta, RegistryRequest, RegistryVersion, ServerRecord,
+    OwnerHeartbeat, RegistryChange, RegistryDelta, RegistryRequest, RegistryVersion, ServerRecord,
     ServerStage, ShardOwnerId, SuspectKind, SuspectReport,
 };
 pub use routing::{
--- a/crates/types/src/registry.rs
+++ b/crates/types/src/registry.rs
@@ -41,7 +41,7 @@
 
 /// Heartbeat that every shard owner sends to every entry once per heartbeat period.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnerBeat {
+pub struct OwnerHeartbeat {
     /// The owner.
     pub owner: ShardOwnerId,
     /// The version of the owner's registry.
