--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -98,8 +98,8 @@
     loop {
         let status = replica.status().await;
         let voters = status.members.iter().filter(|m| m.member.role == MemberRole::Voter).count();
-        let is_gone = absent.is_none_or(|id| status.members.iter().all(|m| m.member.id != id));
-        if voters == count && status.members.len() == count && is_gone {
+        let is_removed = absent.is_none_or(|id| status.members.iter().all(|m| m.member.id != id));
+        if voters == count && status.members.len() == count && is_removed {
             return;
         }
         assert!(started.elapsed() < CHANGE_TIMEOUT, "{:?}", status.members);
@@ -129,7 +129,7 @@
     for replica in &replicas {
         wait_for_voters(replica, 4, None).await;
     }
-    // The last seed loses its disk and starts again at its address.
+    // The last seed loses its disk and restarts at its address.
     let lost = replicas.remove(2);
     let (lost_id, address) = (lost.status().await.id, seeds[2]);
     lost.stop().await;
--- a/crates/types/src/call.rs
+++ b/crates/types/src/call.rs
@@ -23,7 +23,7 @@
     pub const LOAD: &str = "hawthornhill-load";
     /// State of the answering server: `ready` or `leaving`.
     pub const STATE: &str = "hawthornhill-state";
-    /// Set to `1` by a server that did not execute the request.
+    /// Set to `1` by a server to declare that it did not execute the request.
     pub const NOT_RUN: &str = "hawthornhill-not-run";
 }
 
--- a/crates/types/src/claim.rs
+++ b/crates/types/src/claim.rs
@@ -1,14 +1,13 @@
-//! Claims: replicated records that ensure that a request that must not be repeated runs at most
-//! once.
+//! Claims: replicated records that make a non-repeatable request run at most once.
 
 use crate::{EntryName, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use uuid::{Uuid, Version};
 
-/// Maximum age of a key with which a request can still be claimed, in milliseconds.
+/// Maximum age of a key for which a claim is accepted, in milliseconds.
 pub const CLAIM_RETENTION_MS: u64 = 300_000;
-/// Maximum time by which a key may be ahead of the log's time, in milliseconds.
+/// Maximum number of milliseconds by which the time in a key may be ahead of the log's time.
 pub const CLOCK_SKEW_LIMIT_MS: u64 = 10_000;
 /// Time from the creation of a key to the expiry of its claim, in milliseconds.
 ///
@@ -101,9 +100,9 @@
     OtherRequest,
     /// This attempt was released.
     Released,
-    /// The key is older than [`CLAIM_RETENTION_MS`].
+    /// The time in the key is more than [`CLAIM_RETENTION_MS`] behind the log's time.
     TooOld,
-    /// The key is ahead of the log's time by more than [`CLOCK_SKEW_LIMIT_MS`].
+    /// The time in the key is more than [`CLOCK_SKEW_LIMIT_MS`] ahead of the log's time.
     TooNew,
     /// The key is not a UUIDv7.
     BadKey,
--- a/crates/types/src/registry.rs
+++ b/crates/types/src/registry.rs
@@ -1,4 +1,4 @@
-//! Messages in which shard owners report the servers that they manage to the other entries.
+//! Messages between shard owners and the other entries about the servers that the owners manage.
 
 use crate::{Announcement, EntryIncarnation, EntryName, ServerIncarnation, ServerName};
 use serde::{Deserialize, Serialize};
--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -196,11 +196,11 @@
         let older_routes: BTreeMap<_, _> =
             older.routes.iter().map(|r| (r.match_key(), r)).collect();
         let match_keys: BTreeSet<_> = self.routes.iter().map(|route| route.match_key()).collect();
-        let is_gone = |match_key: &&(Arc<str>, Arc<str>)| !match_keys.contains(*match_key);
+        let is_removed = |match_key: &&(Arc<str>, Arc<str>)| !match_keys.contains(*match_key);
         let is_new = |route: &&Arc<RouteSpec>| older_routes.get(&route.match_key()) != Some(route);
         RoutingPatch {
             version: self.version,
-            removed: older_routes.keys().filter(is_gone).cloned().collect(),
+            removed: older_routes.keys().filter(is_removed).cloned().collect(),
             put: self.routes.iter().filter(is_new).cloned().collect(),
             pools: (self.pools != older.pools).then(|| self.pools.clone()),
             limits: (self.limits != older.limits).then(|| self.limits.clone()),
--- a/crates/types/src/server_info.rs
+++ b/crates/types/src/server_info.rs
@@ -47,7 +47,7 @@
     pub state: ServerState,
 }
 
-/// The field of an announcement that is not valid.
+/// The reason why an announcement is not valid, with the field concerned.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum AnnouncementError {
     /// The number of slots is out of range.
--- a/crates/types/src/view.rs
+++ b/crates/types/src/view.rs
@@ -1,4 +1,4 @@
-//! The replicated view, of which every entry holds a copy, and its changes.
+//! The view, which is the part of the replicated state that every entry holds, and its changes.
 //!
 //! Each change increments the version. An entry that lags by a few versions is sent only the
 //! missing changes; an entry that lags further is sent the whole view.
@@ -156,7 +156,7 @@
         self.documents.values().map(|(document, version)| (document, *version))
     }
 
-    /// Returns the drain state of each domain with one; `true` means out of service.
+    /// Returns all drains with their versions; `true` means that the domain is out of service.
     pub fn drains(&self) -> impl Iterator<Item = (&DomainName, bool, DocumentVersion)> {
         self.drains.iter().map(|(domain, (drained, version))| (domain, *drained, *version))
     }
