--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -1,8 +1,9 @@
-//! The set of replicas forms itself from seeds over real links and disks, and repairs itself.
+//! Membership of the set of replicas over real connections and disks: bootstrap from seeds, a later
+//! join, and replacement of a replica that lost its disk.
 
 use consensus::{CoreSettings, MemberRole, ReplicaId};
 use follow::LeaderFinder;
-use hawthornhill_control::{GroupKeeper, GroupSettings, seed_identity};
+use hawthornhill_control::{MembershipManager, MembershipSettings, seed_identity};
 use peer::{PeerAnswer, PeerHandler, PeerLink, PeerRequest, PeerTarget, StreamNode};
 use replica::{
     FileStore, LEADER_WAIT, ReplicaHandle, ReplicaSettings, ReplicaStatus, start_replica,
@@ -17,24 +18,25 @@
 use tokio::{net::TcpListener, task::JoinHandle, time::sleep};
 use types::HostName;
 
-/// Longest wait for a change; far above what it takes, since only the change counts.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of a wait for a membership change; far above the usual time, since the test checks only
+/// that the change happens.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
-struct ReplicaOnly(ReplicaHandle);
+struct ReplicaPeerHandler(ReplicaHandle);
 
 #[async_trait::async_trait]
-impl PeerHandler for ReplicaOnly {
+impl PeerHandler for ReplicaPeerHandler {
     async fn handle(&self, host: &HostName, request: PeerRequest) -> PeerAnswer {
         let answer = self.0.handle(host, request).await;
         answer.unwrap_or_else(|| PeerAnswer::Refused("not for a replica".to_owned()))
     }
 }
 
-/// One replica with its keeper, as a process would run them.
+/// One replica with its membership manager, as a process runs them.
 struct TestReplica {
     handle: ReplicaHandle,
     server: JoinHandle<()>,
-    keeper: JoinHandle<()>,
+    manager: JoinHandle<()>,
 }
 
 impl TestReplica {
@@ -66,17 +68,18 @@
             logger: logger.clone(),
         };
         let handle = start_replica(settings, Box::new(store), restored).expect("started");
-        let server = tokio::spawn(node.serve(listener, Arc::new(ReplicaOnly(handle.clone()))));
-        let group = GroupSettings {
+        let server =
+            tokio::spawn(node.serve(listener, Arc::new(ReplicaPeerHandler(handle.clone()))));
+        let group = MembershipSettings {
             host,
             address,
             seeds: seeds.to_vec(),
             is_first_start: is_first,
             min_voters: 3,
         };
-        let keeper = GroupKeeper::new(group, handle.clone(), leader, logger);
-        let keeper = tokio::spawn(keeper.run(timer));
-        Self { handle, server, keeper }
+        let manager = MembershipManager::new(group, handle.clone(), leader, logger);
+        let manager = tokio::spawn(manager.run(timer));
+        Self { handle, server, manager }
     }
 
     async fn status(&self) -> ReplicaStatus {
@@ -84,7 +87,7 @@
     }
 
     async fn stop(self) {
-        self.keeper.abort();
+        self.manager.abort();
         self.server.abort();
         self.handle.stop().await;
     }
@@ -95,11 +98,11 @@
     loop {
         let status = replica.status().await;
         let voters = status.members.iter().filter(|m| m.member.role == MemberRole::Voter).count();
-        let is_gone = absent.is_none_or(|id| status.members.iter().all(|m| m.member.id != id));
-        if voters == count && status.members.len() == count && is_gone {
+        let is_removed = absent.is_none_or(|id| status.members.iter().all(|m| m.member.id != id));
+        if voters == count && status.members.len() == count && is_removed {
             return;
         }
-        assert!(started.elapsed() < LIMIT, "{:?}", status.members);
+        assert!(started.elapsed() < CHANGE_TIMEOUT, "{:?}", status.members);
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -108,8 +111,9 @@
     TcpListener::bind("127.0.0.1:0").await.expect("a free port")
 }
 
+/// The replacement of the lost disk fails if the previous identity of the replica remains a member.
 #[tokio::test]
-async fn seeds_form_a_set_that_others_join_and_that_replaces_a_lost_disk() {
+async fn seeds_bootstrap_a_set_that_a_replica_joins_and_that_replaces_a_lost_disk() {
     let folders = tempfile::tempdir().expect("a folder");
     let mut listeners = Vec::new();
     for _ in 0..4 {
@@ -125,21 +129,21 @@
     for replica in &replicas {
         wait_for_voters(replica, 4, None).await;
     }
-    // The last seed loses its disk and starts again at its address.
+    // The last seed loses its disk and restarts at its address.
     let lost = replicas.remove(2);
-    let (former, address) = (lost.status().await.id, seeds[2]);
+    let (lost_id, address) = (lost.status().await.id, seeds[2]);
     lost.stop().await;
     let started = Instant::now();
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
-            Err(error) => assert!(started.elapsed() < LIMIT, "{error}"),
+            Err(error) => assert!(started.elapsed() < CHANGE_TIMEOUT, "{error}"),
         }
         sleep(Duration::from_millis(20)).await;
     };
     let folder = folders.path().join("empty");
     replicas.push(TestReplica::start(listener, &seeds, &folder, false));
     for replica in &replicas {
-        wait_for_voters(replica, 4, Some(former)).await;
+        wait_for_voters(replica, 4, Some(lost_id)).await;
     }
 }
