--- a/crates/follow/src/grants.rs
+++ b/crates/follow/src/grants.rs
@@ -1,19 +1,19 @@
-//! What answers to freshness requests say: who leads, and what was granted.
+//! Interprets answers to freshness requests: whether the leader sent them, and what they grant.
 
 use peer::{FreshnessAnswer, FreshnessGrant, PeerAnswer};
 use runtime::ReplicaAddress;
 
-/// Whether an answer comes from the leader.
+/// Tells whether the leader sent an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LeaderAnswer {
-    /// It does.
-    Here,
-    /// It does not; the leader may be at this address.
-    Elsewhere(Option<ReplicaAddress>),
+pub enum AnswerSource {
+    /// The leader sent it.
+    Leader,
+    /// Another replica sent it; the leader may be at this address.
+    NotLeader(Option<ReplicaAddress>),
 }
 
-/// Returns what a replica granted.
-pub(crate) fn granted(answer: Option<PeerAnswer>) -> Option<FreshnessGrant> {
+/// Returns the grant in an answer, if there is one.
+pub(crate) fn into_grant(answer: Option<PeerAnswer>) -> Option<FreshnessGrant> {
     match answer {
         Some(PeerAnswer::Freshness(answer)) => match *answer {
             FreshnessAnswer::Granted(grant) => Some(grant),
@@ -23,13 +23,13 @@
     }
 }
 
-/// Says whether the answer to a freshness request comes from the leader.
-pub(crate) fn is_granted(answer: &PeerAnswer) -> LeaderAnswer {
+/// Returns the source of an answer to a freshness request.
+pub(crate) fn freshness_source(answer: &PeerAnswer) -> AnswerSource {
     match answer {
         PeerAnswer::Freshness(answer) => match answer.as_ref() {
-            FreshnessAnswer::Granted(_) => LeaderAnswer::Here,
-            FreshnessAnswer::NotLeader(hint) => LeaderAnswer::Elsewhere(hint.clone()),
+            FreshnessAnswer::Granted(_) => AnswerSource::Leader,
+            FreshnessAnswer::NotLeader(hint) => AnswerSource::NotLeader(hint.clone()),
         },
-        _ => LeaderAnswer::Elsewhere(None),
+        _ => AnswerSource::NotLeader(None),
     }
 }
--- a/crates/follow/src/keeper.rs
+++ b/crates/follow/src/keeper.rs
@@ -1,11 +1,12 @@
 //! Keeps the view of an entry fresh.
 //!
-//! The time at which a request was sent, not that of its answer, is what the view is fresh as of:
-//! the leader answers only after a quorum round that began after the request arrived.
+//! A confirmed view is fresh as of the time at which the request was sent, not the time at which
+//! the answer arrived: the leader answers only after a quorum round that began after the request
+//! arrived.
 
 use crate::{
-    LeaderFinder, NearReplicas,
-    grants::{granted, is_granted},
+    LeaderFinder, ReplicaSelector,
+    grants::{freshness_source, into_grant},
 };
 use futures_util::future::{Either, select};
 use peer::{FreshnessGrant, FreshnessRequest, PeerRequest, PeerTarget};
@@ -21,46 +22,47 @@
 use types::{ClusterView, EntryInfo, ViewVersion};
 
 /// Period of freshness requests.
-const RENEW_PERIOD: Duration = Duration::from_millis(250);
+const RENEWAL_PERIOD: Duration = Duration::from_millis(250);
 /// Period of requests until there is a first view.
 const FIRST_VIEW_PERIOD: Duration = Duration::from_millis(50);
 /// Longest period of requests until there is a first view.
 const MAX_FIRST_VIEW_PERIOD: Duration = Duration::from_millis(200);
-/// Pause until the next request for a first view, in multiples of the time that the last one took.
-/// When all entries start together, replicas that are slow to answer are asked less often.
+/// Pause before the next request for a first view, as a multiple of the duration of the last one.
+/// When all entries start together, this asks slow replicas less often.
 const FIRST_VIEW_BACKOFF: u32 = 2;
-/// Time after which the leader is asked beside a near replica that has not answered. A near one
-/// waits up to 100 ms to ask for a read index, 50 ms for the leader's round, and 100 ms for the
-/// heartbeat that tells it what is committed; the rest is for hosts that are busy.
-const NEAR_PATIENCE: Duration = Duration::from_millis(400);
-/// The same until there is a first view. One of 3,000 servers takes 0.4 s over a link of 2 Mbit/s,
-/// and the leader could not bear to send it to all entries.
-const FIRST_VIEW_PATIENCE: Duration = Duration::from_millis(1_000);
+/// Time after which the leader is asked in addition to a selected replica that has not answered.
+/// A follower waits up to 100 ms before it requests a read index, 50 ms for the leader's quorum
+/// round, and 100 ms for the heartbeat that carries the commit index; the rest allows for busy
+/// hosts.
+const LEADER_HEDGE_DELAY: Duration = Duration::from_millis(400);
+/// The same until there is a first view. A view of 3,000 servers takes 0.4 s over a link of
+/// 2 Mbit/s, and sending it to all entries would overload the leader.
+const FIRST_VIEW_HEDGE_DELAY: Duration = Duration::from_millis(1_000);
 /// Time allowed for one request.
-const RENEW_TIMEOUT: Duration = Duration::from_millis(600);
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// An entry that holds a view.
+/// Stores the view of an entry.
 pub trait ViewHolder: Send + Sync {
-    /// Returns what the entry tells the replicas about itself.
+    /// Returns the entry's registration, which is sent to the replicas.
     fn info(&self) -> EntryInfo;
-    /// Returns the view that it holds.
+    /// Returns the current view.
     fn view(&self) -> Arc<ClusterView>;
-    /// Takes over a newer view.
+    /// Replaces the view by a newer one.
     fn install(&self, view: Arc<ClusterView>);
-    /// Notes that the view was confirmed by a request sent at this time.
+    /// Records that a request sent at this time confirmed the view.
     fn confirm(&self, sent: Instant);
-    /// Says whether the view was confirmed lately enough for new work.
+    /// Returns whether the last confirmation is recent enough to start new work.
     fn is_open(&self) -> bool;
 }
 
-/// What a keeper uses of its process.
+/// Services of the process that a [`FreshnessKeeper`] uses.
 #[derive(Clone)]
 pub struct KeeperTools {
     /// Counters of confirmations.
     pub counters: DecisionCounters,
-    /// Time line.
+    /// Event timeline.
     pub timeline: EventTimeline,
-    /// Log.
+    /// Logger.
     pub logger: Logger,
     /// Timer service.
     pub timer: TimerService,
@@ -71,31 +73,39 @@
     holder: Arc<dyn ViewHolder>,
     leader: Arc<LeaderFinder>,
     tools: KeeperTools,
-    near: NearReplicas,
-    /// Keeps the choice among replicas that are equally near.
+    selector: ReplicaSelector,
+    /// Random number in `0.0..1.0`, fixed so that the choice among equally near replicas is stable.
     draw: f64,
-    /// The replica that served the view last.
-    server: Option<SocketAddr>,
+    /// The replica that confirmed the view last, unless it has failed since.
+    last_replica: Option<SocketAddr>,
     was_open: bool,
 }
 
 impl FreshnessKeeper {
-    /// Returns a keeper of the holder's view.
+    /// Returns a task that keeps the store's view fresh.
     pub fn new(holder: Arc<dyn ViewHolder>, leader: Arc<LeaderFinder>, tools: KeeperTools) -> Self {
-        let near = NearReplicas::new(holder.info().domain);
-        Self { holder, leader, tools, near, draw: rand::random(), server: None, was_open: false }
+        let selector = ReplicaSelector::new(holder.info().domain);
+        Self {
+            holder,
+            leader,
+            tools,
+            selector,
+            draw: rand::random(),
+            last_replica: None,
+            was_open: false,
+        }
     }
 
-    /// Renews periodically until the timer service ends.
+    /// Renews the view periodically until the timer service ends.
     pub async fn run(mut self) {
-        let mut ticks = self.tools.timer.subscribe(RENEW_PERIOD);
+        let mut ticks = self.tools.timer.subscribe(RENEWAL_PERIOD);
         loop {
-            let asked = Instant::now();
+            let started = Instant::now();
             self.renew().await;
-            self.note_gate();
+            self.record_gate_change();
             if self.holder.view().version == ViewVersion::default() {
                 // Nothing can be served before the first view.
-                sleep(first_view_pause(asked.elapsed())).await;
+                sleep(first_view_pause(started.elapsed())).await;
             } else if ticks.tick().await.is_none() {
                 return;
             }
@@ -105,78 +115,81 @@
     async fn renew(&mut self) {
         let sent = Instant::now();
         let version = self.holder.view().version;
-        match self.ask(version).await {
-            Some(grant) => self.take_grant(grant, version, sent),
+        match self.request_grant(version).await {
+            Some(grant) => self.apply_grant(grant, version, sent),
             None => self.tools.counters.count("not-confirmed"),
         }
     }
 
-    /// Asks a near replica, and the leader too if that one does not answer soon.
-    async fn ask(&mut self, version: ViewVersion) -> Option<FreshnessGrant> {
+    /// Asks the selected replica, and the leader too if the replica fails or is slow to answer.
+    async fn request_grant(&mut self, version: ViewVersion) -> Option<FreshnessGrant> {
         let request = |may_relay| {
             let entry = Some(self.holder.info());
             let known_replicas = self.leader.replicas_digest();
             let request = FreshnessRequest { entry, version, known_replicas, may_relay };
             PeerRequest::Freshness(request)
         };
-        let (near_request, direct_request) = (request(true), request(false));
-        let Some(target) = self.near_replica() else {
-            return granted(self.leader.ask(&direct_request, RENEW_TIMEOUT, is_granted).await);
+        let (replica_request, leader_request) = (request(true), request(false));
+        let Some(target) = self.select_replica() else {
+            return into_grant(
+                self.leader.call_leader(&leader_request, RENEWAL_TIMEOUT, freshness_source).await,
+            );
         };
         let leader = self.leader.clone();
-        let mut near = pin!(leader.ask_one(&target, near_request, RENEW_TIMEOUT));
+        let mut from_replica = pin!(leader.call_replica(&target, replica_request, RENEWAL_TIMEOUT));
         let is_first = version == ViewVersion::default();
-        let patience = if is_first { FIRST_VIEW_PATIENCE } else { NEAR_PATIENCE };
-        let served = timeout(patience, &mut near).await;
-        let is_silent = served.is_err();
-        if let Some(grant) = granted(served.ok().and_then(Result::ok)) {
-            self.near.note_served(target.address, grant.domain.clone());
-            self.note_server(&target, &grant);
+        let hedge_delay = if is_first { FIRST_VIEW_HEDGE_DELAY } else { LEADER_HEDGE_DELAY };
+        let answered = timeout(hedge_delay, &mut from_replica).await;
+        let is_silent = answered.is_err();
+        if let Some(grant) = into_grant(answered.ok().and_then(Result::ok)) {
+            self.selector.record_success(target.address, grant.domain.clone());
+            self.log_replica_change(&target, &grant);
             return Some(grant);
         }
-        self.near.note_failed(target.address, Instant::now());
+        self.selector.record_failure(target.address, Instant::now());
         self.tools.counters.count("near-replica-failed");
-        if self.server.take().is_some() {
+        if self.last_replica.take().is_some() {
             warn!(self.tools.logger, "replica does not confirm the view";
                 "replica" => %target.address, "silent" => is_silent);
         }
-        let direct = pin!(leader.ask(&direct_request, RENEW_TIMEOUT, is_granted));
+        let from_leader =
+            pin!(leader.call_leader(&leader_request, RENEWAL_TIMEOUT, freshness_source));
         if !is_silent {
-            return granted(direct.await);
+            return into_grant(from_leader.await);
         }
-        match select(near, direct).await {
-            Either::Left((answer, direct)) => match granted(answer.ok()) {
+        match select(from_replica, from_leader).await {
+            Either::Left((answer, from_leader)) => match into_grant(answer.ok()) {
                 Some(grant) => Some(grant),
-                None => granted(direct.await),
+                None => into_grant(from_leader.await),
             },
-            Either::Right((answer, _)) => granted(answer),
+            Either::Right((answer, _)) => into_grant(answer),
         }
     }
 
-    fn note_server(&mut self, target: &PeerTarget, grant: &FreshnessGrant) {
-        if self.server.replace(target.address) != Some(target.address) {
+    fn log_replica_change(&mut self, target: &PeerTarget, grant: &FreshnessGrant) {
+        if self.last_replica.replace(target.address) != Some(target.address) {
             info!(self.tools.logger, "replica confirms the view"; "replica" => %target.address,
                 "domain" => %grant.domain);
         }
     }
 
-    fn near_replica(&mut self) -> Option<PeerTarget> {
+    fn select_replica(&mut self) -> Option<PeerTarget> {
         let replicas = self.leader.replicas();
         let addresses: Vec<SocketAddr> = replicas.iter().map(|replica| replica.address).collect();
-        self.near.retain(&addresses);
-        let chosen = self.near.choose(Instant::now(), &addresses, self.draw)?;
+        self.selector.retain(&addresses);
+        let chosen = self.selector.choose(Instant::now(), &addresses, self.draw)?;
         replicas.into_iter().find(|replica| replica.address == chosen)
     }
 
-    fn take_grant(&self, grant: FreshnessGrant, asked: ViewVersion, sent: Instant) {
-        self.leader.learn(&grant.replicas);
+    fn apply_grant(&self, grant: FreshnessGrant, requested: ViewVersion, sent: Instant) {
+        self.leader.set_replicas(&grant.replicas);
         let current = self.holder.view();
-        debug_assert_eq!(current.version, asked, "only this task changes the view");
+        debug_assert_eq!(current.version, requested, "only this task changes the view");
         let update = match grant.update.unpack() {
             Ok(update) => update,
             Err(error) => {
                 self.tools.counters.count("view-malformed");
-                warn!(self.tools.logger, "view not usable"; "error" => %error);
+                warn!(self.tools.logger, "cannot decode the view update"; "error" => %error);
                 return;
             }
         };
@@ -187,7 +200,7 @@
             info!(self.tools.logger, "view changed"; "version" => view.version.0,
                 "from" => current.version.0, "routing" => view.routing_version().0,
                 "servers" => view.servers().count(), "entries" => view.entries().count());
-            // The holder must know of drains before the gate is confirmed for this view.
+            // The store must apply drains before the gate is confirmed for this view.
             self.holder.install(Arc::new(view));
             let tags = EventTags::default();
             self.tools.timeline.record(EventKind::ChangeInForce, tags, detail);
@@ -196,7 +209,7 @@
         self.tools.counters.count("confirmed");
     }
 
-    fn note_gate(&mut self) {
+    fn record_gate_change(&mut self) {
         let is_open = self.holder.is_open();
         if is_open == self.was_open {
             return;
@@ -217,6 +230,6 @@
 }
 
 /// Returns the pause before the next request for a first view.
-fn first_view_pause(last_took: Duration) -> Duration {
-    (last_took * FIRST_VIEW_BACKOFF).clamp(FIRST_VIEW_PERIOD, MAX_FIRST_VIEW_PERIOD)
+fn first_view_pause(last_duration: Duration) -> Duration {
+    (last_duration * FIRST_VIEW_BACKOFF).clamp(FIRST_VIEW_PERIOD, MAX_FIRST_VIEW_PERIOD)
 }
--- a/crates/follow/src/leader.rs
+++ b/crates/follow/src/leader.rs
@@ -1,6 +1,6 @@
-//! Finds the leader of the replicas and follows it as it changes.
+//! Locates the leader of the replicas, also after it changes, and sends requests to it.
 
-use crate::grants::{LeaderAnswer, granted, is_granted};
+use crate::grants::{AnswerSource, freshness_source, into_grant};
 use consensus::MembershipChange;
 use futures_util::{
     StreamExt,
@@ -22,12 +22,12 @@
 
 /// Time allowed for one request to the leader.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time that an answer may take beyond the timeout after which other replicas are asked too. A view
-/// of the target size takes about 2 s over a link of 2 Mbit/s.
+/// Time that the leader's answer may take beyond the timeout after which the other replicas are
+/// asked too. A view of the target size takes about 2 s over a link of 2 Mbit/s.
 const LARGE_ANSWER_TIME: Duration = Duration::from_millis(2_500);
-/// Period at which other replicas are asked again while a leader's answer is waited for.
+/// Pause before the other replicas are asked again while the leader's answer is outstanding.
 const RECHECK_PERIOD: Duration = Duration::from_millis(150);
-/// Pause before the replicas are asked again.
+/// Pause before a command is submitted again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 #[derive(Debug)]
@@ -38,7 +38,7 @@
 }
 
 impl ReplicaTargets {
-    /// Returns the learned replicas, and the seeds at other addresses.
+    /// Returns the known replicas, followed by the seeds at other addresses.
     fn all(&self) -> Vec<PeerTarget> {
         let is_new = |seed: &&PeerTarget| self.known.iter().all(|t| t.address != seed.address);
         let seeds = self.seeds.iter().filter(is_new);
@@ -46,40 +46,41 @@
     }
 }
 
-/// What replicas beside the leader said.
+/// Result of asking several replicas at the same time.
 #[derive(Default)]
-struct OthersAnswer {
+struct FanOutResult {
+    /// The leader's answer, if one of the replicas asked is the leader.
     answer: Option<PeerAnswer>,
-    /// One of them follows the replica that was left out.
-    name_skipped: bool,
+    /// One of the replicas named the excluded replica as the leader.
+    has_named_excluded: bool,
 }
 
-/// What became of a command by its deadline.
+/// Outcome of a command by its deadline.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitResult {
     /// Committed and applied.
     Applied(CommandAnswer),
-    /// Refused by the leader; not taken.
+    /// Refused by the leader, which did not source_of it.
     Refused(String),
-    /// It may or may not come into force.
+    /// Not known; the command may or may not take effect.
     Unknown,
 }
 
-/// Sends requests to whichever replica leads.
+/// Sends requests to the current leader of the replicas.
 pub struct LeaderFinder {
     link: Arc<dyn PeerLink>,
     targets: Mutex<ReplicaTargets>,
 }
 
 impl LeaderFinder {
-    /// Starts with the replicas of the settings.
+    /// Returns a client that knows the replicas of the settings only.
     pub fn new(link: Arc<dyn PeerLink>, known: Vec<PeerTarget>) -> Self {
         let targets = ReplicaTargets { seeds: known.clone(), known, leader: None };
         Self { link, targets: Mutex::new(targets) }
     }
 
-    /// Takes over the replicas that a leader names.
-    pub fn learn(&self, replicas: &[ReplicaAddress]) {
+    /// Replaces the known replicas by those that the leader named. An empty list is ignored.
+    pub fn set_replicas(&self, replicas: &[ReplicaAddress]) {
         if replicas.is_empty() {
             return;
         }
@@ -90,74 +91,75 @@
         self.targets.lock().known = known;
     }
 
-    /// Replaces the replicas that are asked when those that were learned do not answer.
+    /// Replaces the seeds, which are asked in addition to the known replicas.
     pub fn set_seeds(&self, seeds: Vec<PeerTarget>) {
         self.targets.lock().seeds = seeds;
     }
 
-    /// Asks the leader, or all replicas at once while it is unknown. `accept` says whether an
-    /// answer comes from the leader; other answers only point to it.
-    pub async fn ask(
+    /// Asks the leader, or all replicas at the same time while it is unknown. `source_of` returns
+    /// whether the leader sent an answer; other answers only serve to locate the leader.
+    pub async fn call_leader(
         &self,
         request: &PeerRequest,
         timeout: Duration,
-        accept: impl Fn(&PeerAnswer) -> LeaderAnswer,
+        source_of: impl Fn(&PeerAnswer) -> AnswerSource,
     ) -> Option<PeerAnswer> {
         let Some(leader) = self.leader() else {
-            return self.ask_all(request, timeout, &accept).await;
+            return self.call_all(request, timeout, &source_of).await;
         };
-        // A large answer may take longer than the timeout on a narrow link. It is not given up when
-        // the others are asked, since asking again would send it again.
+        // A large answer may take longer than the timeout on a slow link. The call continues while
+        // the others are asked, since a new call would transfer the answer again.
         let mut first = pin!(self.link.call(&leader, request.clone(), timeout + LARGE_ANSWER_TIME));
         if let Ok(answer) = tokio::time::timeout(timeout, &mut first).await {
-            return match self.judge(&leader, answer, &accept) {
+            return match self.process_answer(&leader, answer, &source_of) {
                 Some(answer) => Some(answer),
-                None => self.ask_all(request, timeout, &accept).await,
+                None => self.call_all(request, timeout, &source_of).await,
             };
         }
-        let until = Instant::now() + LARGE_ANSWER_TIME;
+        let recheck_deadline = Instant::now() + LARGE_ANSWER_TIME;
         loop {
-            let others = pin!(self.ask_others(request, timeout, &accept, Some(&leader)));
+            let others = pin!(self.call_others(request, timeout, &source_of, Some(&leader)));
             match select(first.as_mut(), others).await {
                 Either::Left((answer, others)) => {
-                    return match self.judge(&leader, answer, &accept) {
+                    return match self.process_answer(&leader, answer, &source_of) {
                         Some(answer) => Some(answer),
                         None => others.await.answer,
                     };
                 }
                 Either::Right((others, _)) => {
-                    let is_over = !others.name_skipped || Instant::now() >= until;
+                    let is_over = !others.has_named_excluded || Instant::now() >= recheck_deadline;
                     if others.answer.is_some() || is_over {
                         return others.answer;
                     }
                 }
             }
-            // The others may still name a leader that has just stopped.
+            // The others may still name a leader that has just stopped, so they are asked again.
             if let Ok(answer) = tokio::time::timeout(RECHECK_PERIOD, &mut first).await {
-                return self.judge(&leader, answer, &accept);
+                return self.process_answer(&leader, answer, &source_of);
             }
         }
     }
 
-    async fn ask_all(
+    async fn call_all(
         &self,
         request: &PeerRequest,
         timeout: Duration,
-        accept: &impl Fn(&PeerAnswer) -> LeaderAnswer,
+        source_of: &impl Fn(&PeerAnswer) -> AnswerSource,
     ) -> Option<PeerAnswer> {
-        self.ask_others(request, timeout, accept, None).await.answer
+        self.call_others(request, timeout, source_of, None).await.answer
     }
 
-    /// Asks all replicas but one at the same time, and then the leader that they name.
-    async fn ask_others(
+    /// Asks all replicas except `excluded` at the same time, and then the leader that they name, if
+    /// it was not among them.
+    async fn call_others(
         &self,
         request: &PeerRequest,
         timeout: Duration,
-        accept: &impl Fn(&PeerAnswer) -> LeaderAnswer,
-        but: Option<&PeerTarget>,
-    ) -> OthersAnswer {
+        source_of: &impl Fn(&PeerAnswer) -> AnswerSource,
+        excluded: Option<&PeerTarget>,
+    ) -> FanOutResult {
         let mut targets = self.targets.lock().all();
-        targets.retain(|target| Some(target) != but);
+        targets.retain(|target| Some(target) != excluded);
         let asked_targets = targets.clone();
         let mut asked: FuturesUnordered<_> = targets
             .into_iter()
@@ -166,28 +168,31 @@
                 (target, answer)
             })
             .collect();
-        let mut others = OthersAnswer::default();
+        let mut others = FanOutResult::default();
         while let Some((target, answer)) = asked.next().await {
             if let Ok(answer) = &answer
-                && let LeaderAnswer::Elsewhere(Some(named)) = accept(answer)
+                && let AnswerSource::NotLeader(Some(named)) = source_of(answer)
             {
-                others.name_skipped |= but.is_some_and(|but| but.address == named.address);
+                others.has_named_excluded |=
+                    excluded.is_some_and(|replica| replica.address == named.address);
             }
-            others.answer = self.judge(&target, answer, accept);
+            others.answer = self.process_answer(&target, answer, source_of);
             if others.answer.is_some() {
                 return others;
             }
         }
         // The replicas that answered may have named a leader that was not asked.
-        let is_new = |hinted: &PeerTarget| !asked_targets.contains(hinted) && Some(hinted) != but;
+        let is_new =
+            |hinted: &PeerTarget| !asked_targets.contains(hinted) && Some(hinted) != excluded;
         if let Some(hinted) = self.leader().filter(is_new) {
             let answer = self.link.call(&hinted, request.clone(), timeout).await;
-            others.answer = self.judge(&hinted, answer, accept);
+            others.answer = self.process_answer(&hinted, answer, source_of);
         }
         others
     }
 
-    /// Asks for a change of the set of replicas until a leader takes or refuses it.
+    /// Submits a change of the set of replicas until a leader accepts or refuses it, or the deadline
+    /// passes.
     pub async fn change_membership(
         &self,
         change: MembershipChange,
@@ -196,17 +201,17 @@
         self.submit_request(&PeerRequest::ChangeMembership(change), deadline).await
     }
 
-    /// Reads the whole view as of now. Returns `None` if no leader confirms it in time.
+    /// Reads the whole current view. Returns `None` if no leader confirms it in time.
     pub async fn read_view(&self, timeout: Duration) -> Option<ClusterView> {
-        // No view has this version, so that the whole one is sent.
+        // No view has this version, so the answer contains the whole view.
         match self.read_update(ViewVersion(u64::MAX), timeout).await? {
             ViewUpdate::Whole(view) => Some(*view),
             ViewUpdate::Changes(_) => None,
         }
     }
 
-    /// Brings a copy of `base` up to the view as of now. Returns `None` if no leader confirms it in
-    /// time.
+    /// Reads the current view by applying the changes since `base`. Returns `None` if no leader
+    /// confirms it in time.
     pub async fn read_since(&self, base: &ClusterView, timeout: Duration) -> Option<ClusterView> {
         let update = self.read_update(base.version, timeout).await?;
         let mut view = base.clone();
@@ -218,30 +223,30 @@
         let (entry, known_replicas, may_relay) = (None, 0, false);
         let request = FreshnessRequest { entry, version, known_replicas, may_relay };
         let request = PeerRequest::Freshness(request);
-        let answer = granted(self.ask(&request, timeout, is_granted).await)?;
-        answer.update.unpack().ok()
+        let grant = into_grant(self.call_leader(&request, timeout, freshness_source).await)?;
+        grant.update.unpack().ok()
     }
 
-    /// Submits a command until its fate is known or the deadline passes. The command must be one
-    /// that may be decided twice without harm.
+    /// Submits a command until its outcome is known or the deadline passes. The command must be
+    /// idempotent, since it may be applied more than once.
     pub async fn submit(&self, command: Command, deadline: Instant) -> SubmitResult {
         self.submit_request(&PeerRequest::Submit(command), deadline).await
     }
 
     async fn submit_request(&self, request: &PeerRequest, deadline: Instant) -> SubmitResult {
-        let is_from_leader = |answer: &PeerAnswer| match answer {
+        let source_of = |answer: &PeerAnswer| match answer {
             PeerAnswer::Submit(SubmitAnswer::NotLeader(hint)) => {
-                LeaderAnswer::Elsewhere(hint.clone())
+                AnswerSource::NotLeader(hint.clone())
             }
-            PeerAnswer::Submit(SubmitAnswer::Unknown) => LeaderAnswer::Elsewhere(None),
-            _ => LeaderAnswer::Here,
+            PeerAnswer::Submit(SubmitAnswer::Unknown) => AnswerSource::NotLeader(None),
+            _ => AnswerSource::Leader,
         };
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return SubmitResult::Unknown;
             }
-            match self.ask(request, left.min(CALL_TIMEOUT), is_from_leader).await {
+            match self.call_leader(request, left.min(CALL_TIMEOUT), source_of).await {
                 Some(PeerAnswer::Submit(SubmitAnswer::Applied(answer))) => {
                     return SubmitResult::Applied(answer);
                 }
@@ -255,7 +260,7 @@
         }
     }
 
-    /// Returns the digest of the replicas that were learned; 0 while only seeds are known.
+    /// Returns the digest of the known replicas, or 0 while only the seeds are known.
     pub(crate) fn replicas_digest(&self) -> u32 {
         let targets = self.targets.lock();
         if targets.known == targets.seeds {
@@ -264,13 +269,13 @@
         replicas_digest(targets.known.iter().map(|target| target.address))
     }
 
-    /// Returns all replicas that are known, or the seeds as long as none are.
+    /// Returns the known replicas: those that a leader named, or the initial ones.
     pub(crate) fn replicas(&self) -> Vec<PeerTarget> {
         self.targets.lock().known.clone()
     }
 
     /// Sends a request to one replica.
-    pub(crate) async fn ask_one(
+    pub(crate) async fn call_replica(
         &self,
         target: &PeerTarget,
         request: PeerRequest,
@@ -279,25 +284,26 @@
         self.link.call(target, request, timeout).await
     }
 
-    /// Returns the leader, as far as known.
+    /// Returns the leader, or `None` while it is unknown.
     pub fn leader(&self) -> Option<PeerTarget> {
         self.targets.lock().leader.clone()
     }
 
-    fn judge(
+    /// Updates the known leader by an answer. Returns the answer if the leader sent it.
+    fn process_answer(
         &self,
         target: &PeerTarget,
         answer: Result<PeerAnswer, PeerError>,
-        accept: impl Fn(&PeerAnswer) -> LeaderAnswer,
+        source_of: impl Fn(&PeerAnswer) -> AnswerSource,
     ) -> Option<PeerAnswer> {
         let mut targets = self.targets.lock();
-        let verdict = answer.as_ref().ok().map(accept);
-        match (verdict, answer) {
-            (Some(LeaderAnswer::Here), Ok(answer)) => {
+        let source = answer.as_ref().ok().map(source_of);
+        match (source, answer) {
+            (Some(AnswerSource::Leader), Ok(answer)) => {
                 targets.leader = Some(target.clone());
                 Some(answer)
             }
-            (Some(LeaderAnswer::Elsewhere(hint)), _) => {
+            (Some(AnswerSource::NotLeader(hint)), _) => {
                 let hinted = hint.map(|hint| PeerTarget { host: hint.host, address: hint.address });
                 if hinted.is_some() || targets.leader.as_ref() == Some(target) {
                     targets.leader = hinted;
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -1,11 +1,11 @@
-//! Following the replicas: finding their leader, and keeping a view fresh.
+//! Client side of the replicas: locates their leader and keeps an entry's view fresh.
 
 mod grants;
 mod keeper;
 mod leader;
 mod near;
 
-pub use grants::LeaderAnswer;
+pub use grants::AnswerSource;
 pub use keeper::{FreshnessKeeper, KeeperTools, ViewHolder};
 pub use leader::{LeaderFinder, SubmitResult};
-pub use near::NearReplicas;
+pub use near::ReplicaSelector;
--- a/crates/follow/src/near.rs
+++ b/crates/follow/src/near.rs
@@ -1,7 +1,7 @@
-//! Which replica an entry asks for its view.
+//! Selects the replica from which an entry requests its view.
 //!
-//! Replicas of the entry's own failure domain are nearest. An entry learns in which one a replica
-//! is from its answers, and tries others until it has found one of its own.
+//! Replicas in the entry's own_domain failure domain are preferred. An entry learns a replica's failure
+//! domain from its answers, and tries replicas of unknown domain until it finds one in its own_domain.
 
 use std::{
     collections::HashMap,
@@ -10,55 +10,57 @@
 };
 use types::DomainName;
 
-/// How long a replica that did not serve a request is passed over.
-const PASS_OVER: Duration = Duration::from_secs(3);
+/// How long a replica is skipped after it failed to serve a request.
+const FAILURE_COOLDOWN: Duration = Duration::from_secs(3);
 
-/// What an entry knows of the replicas.
+/// Tracks the failure domains and recent failures of replicas, and selects one to ask.
 #[derive(Debug)]
-pub struct NearReplicas {
-    own: DomainName,
+pub struct ReplicaSelector {
+    own_domain: DomainName,
     domains: HashMap<SocketAddr, DomainName>,
     failed: HashMap<SocketAddr, Instant>,
 }
 
-impl NearReplicas {
-    /// Returns an entry's knowledge in failure domain `own` at its start.
-    pub fn new(own: DomainName) -> Self {
-        Self { own, domains: HashMap::new(), failed: HashMap::new() }
+impl ReplicaSelector {
+    /// Returns a selector for an entry in failure domain `own_domain`, without any known replica.
+    pub fn new(own_domain: DomainName) -> Self {
+        Self { own_domain, domains: HashMap::new(), failed: HashMap::new() }
     }
 
-    /// Returns the replica to ask, `None` if all have failed lately. `draw` is uniform from 0 to 1
-    /// and differs between entries, so that they spread.
+    /// Returns the replica to ask, or `None` if all have failed recently. `draw` is a random number
+    /// in `0.0..1.0`; it differs between entries, which spreads them over the replicas.
     pub fn choose(&self, now: Instant, replicas: &[SocketAddr], draw: f64) -> Option<SocketAddr> {
         let is_usable = |address: &&SocketAddr| {
             let failed = self.failed.get(*address);
-            failed.is_none_or(|since| now.saturating_duration_since(*since) > PASS_OVER)
+            failed.is_none_or(|since| now.saturating_duration_since(*since) > FAILURE_COOLDOWN)
         };
         let usable: Vec<SocketAddr> = replicas.iter().filter(is_usable).copied().collect();
-        let near = |address: &SocketAddr| self.domains.get(address) == Some(&self.own);
-        let untried = |address: &SocketAddr| !self.domains.contains_key(address);
-        let pick = |choice: Vec<SocketAddr>| {
-            let index = (draw.clamp(0.0, 1.0) * choice.len() as f64) as usize;
-            choice.get(index.min(choice.len().saturating_sub(1))).copied()
+        let is_near = |address: &SocketAddr| self.domains.get(address) == Some(&self.own_domain);
+        let is_untried = |address: &SocketAddr| !self.domains.contains_key(address);
+        let pick = |candidates: Vec<SocketAddr>| {
+            let index = (draw.clamp(0.0, 1.0) * candidates.len() as f64) as usize;
+            candidates.get(index.min(candidates.len().saturating_sub(1))).copied()
         };
-        let of = |test: &dyn Fn(&SocketAddr) -> bool| {
-            usable.iter().filter(|address| test(address)).copied().collect::<Vec<_>>()
+        let usable_where = |predicate: &dyn Fn(&SocketAddr) -> bool| {
+            usable.iter().filter(|address| predicate(address)).copied().collect::<Vec<_>>()
         };
-        pick(of(&near)).or_else(|| pick(of(&untried))).or_else(|| pick(usable.clone()))
+        pick(usable_where(&is_near))
+            .or_else(|| pick(usable_where(&is_untried)))
+            .or_else(|| pick(usable.clone()))
     }
 
-    /// Notes that a replica served a request, and where it is.
-    pub fn note_served(&mut self, address: SocketAddr, domain: DomainName) {
+    /// Records that a replica served a request, and its failure domain.
+    pub fn record_success(&mut self, address: SocketAddr, domain: DomainName) {
         self.failed.remove(&address);
         self.domains.insert(address, domain);
     }
 
-    /// Notes that a replica did not serve a request in time.
-    pub fn note_failed(&mut self, address: SocketAddr, now: Instant) {
+    /// Records that a replica did not serve a request in time.
+    pub fn record_failure(&mut self, address: SocketAddr, now: Instant) {
         self.failed.insert(address, now);
     }
 
-    /// Forgets replicas that are none any more.
+    /// Drops the state of replicas that are no longer in `replicas`.
     pub fn retain(&mut self, replicas: &[SocketAddr]) {
         self.domains.retain(|address, _| replicas.contains(address));
         self.failed.retain(|address, _| replicas.contains(address));
--- a/crates/follow/tests/keeper.rs
+++ b/crates/follow/tests/keeper.rs
@@ -1,4 +1,5 @@
-//! Whom an entry asks to confirm its view: a near replica, and the leader only if that is silent.
+//! Tests which replica an entry asks to confirm its view: a follower first, and the leader only if
+//! the follower does not answer in time.
 
 use async_trait::async_trait;
 use hawthornhill_follow::{FreshnessKeeper, KeeperTools, LeaderFinder, ViewHolder};
@@ -20,7 +21,8 @@
 };
 use types::{ClusterView, EntryIncarnation, EntryInfo, ViewUpdate, ViewVersion};
 
-/// Replicas that confirm a view after a while if they are asked as followers, and at once as leaders.
+/// Replicas that confirm a view after `delay` when asked as a follower, and at once when asked as
+/// the leader.
 struct SlowFollowers {
     delay: Duration,
     asked_leader: AtomicUsize,
@@ -51,13 +53,13 @@
     fn send(&self, _target: &PeerTarget, _request: PeerRequest) {}
 }
 
-/// An entry that holds a view of this version.
-struct NotingHolder {
+/// Stores a view of a fixed version and signals its confirmation.
+struct SignallingStore {
     version: u64,
     confirmed: Notify,
 }
 
-impl ViewHolder for NotingHolder {
+impl ViewHolder for SignallingStore {
     fn info(&self) -> EntryInfo {
         let address = ([10, 0, 0, 9], 1).into();
         EntryInfo {
@@ -90,12 +92,13 @@
     }
 }
 
-/// Returns how often the leader was asked until the view was confirmed.
+/// Returns how often the leader was asked until the view was confirmed, when followers answer after
+/// `delay`.
 async fn leader_requests(delay: Duration, version: u64) -> usize {
     let link = Arc::new(SlowFollowers { delay, asked_leader: AtomicUsize::new(0) });
     let host = "core-1".parse().expect("valid");
     let target = PeerTarget { host, address: ([10, 0, 0, 1], 1).into() };
-    let holder = Arc::new(NotingHolder { version, confirmed: Notify::new() });
+    let holder = Arc::new(SignallingStore { version, confirmed: Notify::new() });
     let tools = KeeperTools {
         counters: MetricsRegistry::default().decisions("freshness", "test"),
         timeline: EventTimeline::new("entry-1"),
@@ -109,20 +112,24 @@
     link.asked_leader.load(Ordering::SeqCst)
 }
 
-/// Found on a copy of a grown site with 300 machines: followers took 250 ms, since they space their
-/// requests to the leader, and all entries turned to the leader after 200.
+/// Guards against overloading the leader: followers delay read-index requests, so an answer can take
+/// 250 ms. On a copy of a site with 300 machines, all entries asked the leader after 200 ms.
 #[tokio::test(start_paused = true)]
-async fn follower_that_spaces_its_requests_is_waited_for() {
-    // 100 ms of spacing, 50 to the leader's round, 100 to the heartbeat after it.
+async fn leader_is_not_asked_while_a_follower_delays_its_read_index() {
+    // 100 ms before the read index is requested, 50 ms for the leader's quorum round, 100 ms until
+    // the next heartbeat.
     assert_eq!(leader_requests(Duration::from_millis(250), 5).await, 0);
 }
 
+/// Guards against requesting a large first view a second time, from the leader, while a follower is
+/// still sending it.
 #[tokio::test(start_paused = true)]
-async fn large_first_view_is_waited_for() {
-    // A view of 3,000 servers over 2 Mbit/s.
+async fn leader_is_not_asked_during_a_large_first_view() {
+    // Above the 0.4 s that a view of 3,000 servers takes over a link of 2 Mbit/s.
     assert_eq!(leader_requests(Duration::from_millis(500), 0).await, 0);
 }
 
+/// Guards against losing freshness when a follower never answers.
 #[tokio::test(start_paused = true)]
 async fn leader_is_asked_when_the_follower_is_silent() {
     assert!(leader_requests(Duration::from_secs(60), 5).await >= 1);
--- a/crates/follow/tests/leader.rs
+++ b/crates/follow/tests/leader.rs
@@ -1,7 +1,7 @@
-//! Finding the leader from seeds, with links that need no network.
+//! Tests how the leader is located from seeds, over simulated links.
 
 use async_trait::async_trait;
-use hawthornhill_follow::{LeaderAnswer, LeaderFinder, SubmitResult};
+use hawthornhill_follow::{AnswerSource, LeaderFinder, SubmitResult};
 use peer::{PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget, SubmitAnswer};
 use runtime::ReplicaAddress;
 use std::{
@@ -14,13 +14,13 @@
 };
 use types::{Command, CommandAnswer};
 
-/// Replicas of which only one leads; the others name it.
-struct NamingReplicas {
+/// Replicas of which one is the leader; the others name it in their answers.
+struct RedirectingReplicas {
     leader: ReplicaAddress,
 }
 
 #[async_trait]
-impl PeerLink for NamingReplicas {
+impl PeerLink for RedirectingReplicas {
     async fn call(
         &self,
         target: &PeerTarget,
@@ -43,20 +43,20 @@
     PeerTarget { host: format!("core-{port}").parse().expect("valid name"), address }
 }
 
-fn accept(answer: &PeerAnswer) -> LeaderAnswer {
+fn source_of(answer: &PeerAnswer) -> AnswerSource {
     match answer {
-        PeerAnswer::Submit(SubmitAnswer::Applied(_)) => LeaderAnswer::Here,
-        PeerAnswer::Submit(SubmitAnswer::NotLeader(hint)) => LeaderAnswer::Elsewhere(hint.clone()),
-        _ => LeaderAnswer::Elsewhere(None),
+        PeerAnswer::Submit(SubmitAnswer::Applied(_)) => AnswerSource::Leader,
+        PeerAnswer::Submit(SubmitAnswer::NotLeader(hint)) => AnswerSource::NotLeader(hint.clone()),
+        _ => AnswerSource::NotLeader(None),
     }
 }
 
-/// After a restart of the whole system an entry knows the seeds only. When none of them leads, the
-/// leader that they name must be asked although it is on no list.
+/// Guards against never reaching a leader that is not a seed. After a restart of the whole system an
+/// entry knows the seeds only, so it must also ask the leader that they name.
 #[tokio::test]
-async fn leader_that_is_no_seed_is_found_by_name() {
+async fn leader_named_by_the_seeds_is_asked() {
     let PeerTarget { host, address } = target(4);
-    let link = Arc::new(NamingReplicas { leader: ReplicaAddress { host, address } });
+    let link = Arc::new(RedirectingReplicas { leader: ReplicaAddress { host, address } });
     let seeds = vec![target(1), target(2), target(3)];
     let finder = LeaderFinder::new(link, seeds);
     let deadline = Instant::now() + Duration::from_millis(200);
@@ -64,14 +64,14 @@
     assert_eq!(result, SubmitResult::Applied(CommandAnswer::Done));
 }
 
-/// A leader whose answer takes long on a narrow link, beside replicas that are quick to name it.
-struct NarrowLink {
+/// A leader whose later answers take 300 ms to transfer; the other replicas name it at once.
+struct SlowLink {
     leader: ReplicaAddress,
     asked: AtomicUsize,
 }
 
 #[async_trait]
-impl PeerLink for NarrowLink {
+impl PeerLink for SlowLink {
     async fn call(
         &self,
         target: &PeerTarget,
@@ -95,21 +95,25 @@
     fn send(&self, _target: &PeerTarget, _request: PeerRequest) {}
 }
 
-/// Giving the answer up at the timeout and asking again would send it again, and never finish.
+/// Guards against an answer that never arrives because it takes longer than the timeout: cancelling
+/// the call and asking again would restart the transfer each time.
 #[tokio::test]
-async fn answer_that_outlasts_the_timeout_is_waited_for() {
+async fn slow_answer_of_the_leader_is_not_requested_again() {
     let PeerTarget { host, address } = target(1);
     let leader = ReplicaAddress { host, address };
-    let link = Arc::new(NarrowLink { leader, asked: AtomicUsize::new(0) });
+    let link = Arc::new(SlowLink { leader, asked: AtomicUsize::new(0) });
     let finder = LeaderFinder::new(link.clone(), vec![target(1), target(2), target(3)]);
     let request = PeerRequest::Submit(Command::BalanceRanges);
     let timeout = Duration::from_millis(50);
-    assert!(finder.ask(&request, timeout, accept).await.is_some(), "finds the leader");
-    assert!(finder.ask(&request, timeout, accept).await.is_some(), "waits for its answer");
+    assert!(finder.call_leader(&request, timeout, source_of).await.is_some(), "finds the leader");
+    assert!(
+        finder.call_leader(&request, timeout, source_of).await.is_some(),
+        "waits for its answer"
+    );
     assert_eq!(link.asked.load(Ordering::SeqCst), 2);
 }
 
-/// A leader that has frozen: the others follow it until they have elected another one.
+/// A leader that stops answering; the other replicas name it until they have elected a new one.
 struct FrozenLeader {
     asked: AtomicUsize,
 }
@@ -142,15 +146,22 @@
     fn send(&self, _target: &PeerTarget, _request: PeerRequest) {}
 }
 
-/// Found by daemon/tests/freshness.rs: an entry waited for a frozen leader for 3 s, since the others
-/// still named it when they were asked, and its view was no longer fresh.
+/// Guards against losing freshness when the leader freezes: the other replicas still named it when
+/// they were first asked, so an entry waited 3 s for it and its view expired. Found by
+/// daemon/tests/freshness.rs.
 #[tokio::test]
-async fn frozen_leader_is_left_for_the_one_elected_meanwhile() {
+async fn frozen_leader_is_replaced_by_the_newly_elected_one() {
     let link = Arc::new(FrozenLeader { asked: AtomicUsize::new(0) });
     let finder = LeaderFinder::new(link, vec![target(1), target(2), target(3)]);
     let request = PeerRequest::Submit(Command::BalanceRanges);
     let timeout = Duration::from_millis(50);
-    assert!(finder.ask(&request, timeout, accept).await.is_some(), "finds the first leader");
-    assert!(finder.ask(&request, timeout, accept).await.is_some(), "finds the second one");
+    assert!(
+        finder.call_leader(&request, timeout, source_of).await.is_some(),
+        "finds the first leader"
+    );
+    assert!(
+        finder.call_leader(&request, timeout, source_of).await.is_some(),
+        "finds the new leader"
+    );
     assert_eq!(finder.leader(), Some(target(4)));
 }
