--- a/crates/follow/src/leader.rs
+++ b/crates/follow/src/leader.rs
@@ -60,7 +60,7 @@
 pub enum SubmitResult {
     /// Committed and applied.
     Applied(CommandAnswer),
-    /// Refused by the leader, which did not source_of it.
+    /// Refused by the leader, which did not accept it.
     Refused(String),
     /// Not known; the command may or may not take effect.
     Unknown,
@@ -191,8 +191,8 @@
         others
     }
 
-    /// Submits a change of the set of replicas until a leader accepts or refuses it, or the deadline
-    /// passes.
+    /// Submits a change of the set of replicas until a leader accepts or refuses it, or the
+    /// deadline passes.
     pub async fn change_membership(
         &self,
         change: MembershipChange,
--- a/crates/follow/src/near.rs
+++ b/crates/follow/src/near.rs
@@ -1,7 +1,7 @@
 //! Selects the replica from which an entry requests its view.
 //!
-//! Replicas in the entry's own_domain failure domain are preferred. An entry learns a replica's failure
-//! domain from its answers, and tries replicas of unknown domain until it finds one in its own_domain.
+//! Replicas in the entry's own failure domain are preferred. An entry learns a replica's failure
+//! domain from its answers, and tries replicas of unknown domain until it finds one in its own.
 
 use std::{
     collections::HashMap,
@@ -27,8 +27,9 @@
         Self { own_domain, domains: HashMap::new(), failed: HashMap::new() }
     }
 
-    /// Returns the replica to ask, or `None` if all have failed recently. `draw` is a random number
-    /// in `0.0..1.0`; it differs between entries, which spreads them over the replicas.
+    /// Returns the replica to ask, or `None` if all have failed recently. `draw` is a uniformly
+    /// distributed number in `0.0..1.0`. It differs between entries, which spreads them over the
+    /// replicas.
     pub fn choose(&self, now: Instant, replicas: &[SocketAddr], draw: f64) -> Option<SocketAddr> {
         let is_usable = |address: &&SocketAddr| {
             let failed = self.failed.get(*address);
--- a/crates/follow/tests/keeper.rs
+++ b/crates/follow/tests/keeper.rs
@@ -112,8 +112,8 @@
     link.asked_leader.load(Ordering::SeqCst)
 }
 
-/// Guards against overloading the leader: followers delay read-index requests, so an answer can take
-/// 250 ms. On a copy of a site with 300 machines, all entries asked the leader after 200 ms.
+/// Guards against overloading the leader: followers delay read-index requests, so an answer can
+/// take 250 ms. On a copy of a site with 300 machines, all entries asked the leader after 200 ms.
 #[tokio::test(start_paused = true)]
 async fn leader_is_not_asked_while_a_follower_delays_its_read_index() {
     // 100 ms before the read index is requested, 50 ms for the leader's quorum round, 100 ms until
--- a/crates/follow/tests/leader.rs
+++ b/crates/follow/tests/leader.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Guards against never reaching a leader that is not a seed. After a restart of the whole system an
-/// entry knows the seeds only, so it must also ask the leader that they name.
+/// Guards against never reaching a leader that is not a seed. After a restart of the whole system
+/// an entry knows the seeds only, so it must also ask the leader that they name.
 #[tokio::test]
 async fn leader_named_by_the_seeds_is_asked() {
     let PeerTarget { host, address } = target(4);
