--- a/crates/entry/src/active_call.rs
+++ b/crates/entry/src/active_call.rs
@@ -1,4 +1,4 @@
-//! A request on its way through an entry, with what is known about it.
+//! The state of a request while an entry processes it.
 
 use crate::{prepared_call::PreparedCall, service_pool::ServicePool};
 use std::{
@@ -11,23 +11,23 @@
 use types::{CallAnswer, CallOutcome, CallRequest};
 use uuid::Uuid;
 
-/// Where a request came from.
+/// The origin of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallSource {
-    /// A caller.
+    /// Received from a caller.
     Caller,
-    /// Another entry handed it over; it is not handed over again.
+    /// Forwarded by another entry; it is not forwarded again.
     Entry,
 }
 
-/// A request on its way.
+/// A request that an entry is processing.
 ///
-/// Invariant: `possible_runs` counts the attempts that were begun and not proved to have run nothing;
-/// a try that is dropped stays counted.
+/// Invariant: `possible_runs` counts the attempts that have started and are not known to have run
+/// nothing; an attempt whose future is dropped stays counted.
 pub(crate) struct ActiveCall {
     pub(crate) call: CallRequest,
-    /// The key that the caller gave. A key made by this entry is in `call` only.
-    pub(crate) stated_key: Option<Uuid>,
+    /// The idempotency key from the caller. A key that this entry generated is in `call` only.
+    pub(crate) caller_key: Option<Uuid>,
     pub(crate) prepared: PreparedCall,
     pub(crate) pool: Arc<ServicePool>,
     pub(crate) deadline: Instant,
@@ -38,28 +38,29 @@
 impl ActiveCall {
     pub(crate) fn new(
         call: CallRequest,
-        stated_key: Option<Uuid>,
+        caller_key: Option<Uuid>,
         prepared: PreparedCall,
         pool: Arc<ServicePool>,
         deadline: Instant,
         source: CallSource,
     ) -> Self {
         let possible_runs = AtomicU32::new(0);
-        Self { call, stated_key, prepared, pool, deadline, source, possible_runs }
+        Self { call, caller_key, prepared, pool, deadline, source, possible_runs }
     }
 
-    /// Notes that a try begins.
-    pub(crate) fn note_sent(&self) {
+    /// Records the start of an attempt, here or by forwarding the request to another entry.
+    pub(crate) fn record_start(&self) {
         self.possible_runs.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Notes that a try is proved to have run nothing.
-    pub(crate) fn note_not_run(&self) {
+    /// Records that an attempt is known to have run nothing.
+    pub(crate) fn record_not_run(&self) {
         self.possible_runs.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Returns the answer with the truth about all attempts: "not run" only if none can have run.
-    pub(crate) fn qualify(&self, answer: CallAnswer) -> CallAnswer {
+    /// Returns the answer with an outcome that covers all attempts: `NotRun` becomes `Unknown` if
+    /// any attempt may have run.
+    pub(crate) fn adjust_outcome(&self, answer: CallAnswer) -> CallAnswer {
         let may_have_run = self.possible_runs.load(Ordering::Acquire) > 0;
         if answer.outcome == CallOutcome::NotRun && may_have_run {
             return CallAnswer { outcome: CallOutcome::Unknown, ..answer };
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one server.
+//! One attempt to run a request at one server.
 
 use crate::{EntryContext, active_call::ActiveCall, service_pool::ServerPermit};
 use policy::{AttemptOutcome, StatedLoad};
@@ -7,30 +7,30 @@
 use std::{sync::Arc, time::Instant};
 use types::{CallAnswer, CallOutcome, ServerName};
 
-/// How a try ended, as far as the request is concerned.
+/// The result of an attempt, which decides how its request continues.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum AttemptEnd {
-    /// The server's whole answer.
+    /// The server ran the request; this is the complete answer.
     Answered(CallAnswer),
-    /// The server did not run it and will not.
+    /// The server did not run the request and will not run it.
     NotRun(String),
-    /// The entry closed to new work before a byte left.
+    /// The entry stopped accepting new work before it sent a byte.
     Closed,
-    /// The server may have run it.
+    /// The server may have run the request.
     Unknown(String),
-    /// No answer by the deadline; the server may have run it.
+    /// No answer by the deadline; the server may have run the request.
     Late,
 }
 
-/// Sends requests to servers and judges how they end.
+/// Sends requests to servers and classifies the results.
 #[derive(Clone)]
-pub(crate) struct TryRunner {
+pub(crate) struct AttemptRunner {
     pub(crate) context: Arc<EntryContext>,
     pub(crate) transport: Arc<dyn ServerTransport>,
 }
 
-impl TryRunner {
-    /// Sends a request to the permit's server and ends the permit.
+impl AttemptRunner {
+    /// Sends a request to the permit's server and finishes the permit.
     pub(crate) async fn run(&self, active: &ActiveCall, permit: ServerPermit) -> AttemptEnd {
         let server = permit.server.name.clone();
         let (address, deadline) = (permit.server.address, active.deadline);
@@ -43,34 +43,38 @@
         };
         self.context.record_call(EventKind::CallSent, active.call.id, format!("to {server}"));
         let started = Instant::now();
-        active.note_sent();
+        active.record_start();
         let request = active.prepared.request(deadline);
-        let result = connection.send(request, self.guard(), deadline).await;
+        let result = connection.send(request, self.start_guard(), deadline).await;
         let outcome = send_outcome(&result, started);
         if outcome == AttemptOutcome::Broken {
             self.transport.forget(address);
         }
-        let stated = result.as_ref().map(stated_load).unwrap_or_default();
-        permit.finish(outcome, &stated);
-        let end = judge(&server, result);
+        let load = result.as_ref().map(reported_load).unwrap_or_default();
+        permit.finish(outcome, &load);
+        let end = attempt_end(&server, result);
         if matches!(end, AttemptEnd::NotRun(_) | AttemptEnd::Closed) {
-            active.note_not_run();
+            active.record_not_run();
         }
         end
     }
 
-    fn guard(&self) -> StartGuard {
+    /// Returns a guard that stops a send before its first byte if this entry no longer accepts
+    /// work.
+    fn start_guard(&self) -> StartGuard {
         let context = self.context.clone();
         Arc::new(move || context.is_open())
     }
 }
 
+/// Returns what a failed connection means for the server's health.
 fn connect_outcome(error: &TransportError) -> AttemptOutcome {
     match error {
         TransportError::Refused | TransportError::NotConnected(_) => AttemptOutcome::Unreachable,
     }
 }
 
+/// Returns what the result of a send means for the server's health.
 fn send_outcome(result: &Result<ServerAnswer, SendError>, started: Instant) -> AttemptOutcome {
     match result {
         Ok(answer) if answer.is_not_run => AttemptOutcome::Shed,
@@ -82,11 +86,13 @@
     }
 }
 
-fn stated_load(answer: &ServerAnswer) -> StatedLoad {
+/// Returns the state that the server reported with its answer.
+fn reported_load(answer: &ServerAnswer) -> StatedLoad {
     StatedLoad { load: answer.load, incarnation: answer.incarnation, is_leaving: answer.is_leaving }
 }
 
-fn judge(server: &ServerName, result: Result<ServerAnswer, SendError>) -> AttemptEnd {
+/// Returns what the result of a send means for the request.
+fn attempt_end(server: &ServerName, result: Result<ServerAnswer, SendError>) -> AttemptEnd {
     match result {
         Ok(answer) if answer.is_not_run => AttemptEnd::NotRun(format!("{server} shed the request")),
         Ok(answer) => AttemptEnd::Answered(CallAnswer {
--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -1,10 +1,11 @@
-//! Which servers there are: announcements in, beats and registry deltas between entries, pools out.
+//! The catalog of backend servers. It receives announcements, exchanges heartbeats and registry
+//! deltas with other entries, and updates the pools of all services.
 
 use crate::{
     EntryContext,
-    context::NO_VERSION,
+    context::INITIAL_VERSION,
     owned_shards::OwnedShards,
-    service_pool::{BeatClock, PoolTable, ServerObserver},
+    service_pool::{HeartbeatClock, PoolTable, ServerObserver},
 };
 use async_trait::async_trait;
 use parking_lot::{Mutex, RwLock};
@@ -26,33 +27,33 @@
     ServiceName, ShardOwnerId, SuspectKind, SuspectReport,
 };
 
-/// Period of beats.
-const BEAT_PERIOD: Duration = Duration::from_millis(500);
-/// Period in which servers announce themselves.
+/// Period of heartbeats to other entries.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
+/// Period at which servers are told to send announcements.
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(3);
 /// Time allowed for a message to a shard owner.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two pulls of a long delta, which bounds the traffic of mass changes.
+/// Pause between two pulls of a long delta. It limits the traffic when many servers change.
 const PULL_PAUSE: Duration = Duration::from_millis(50);
-/// Time assumed for requests of a service that has no specification.
+/// Request timeout assumed for a service without a specification.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Other entries named in the answer to an announcement.
-const OTHER_ENTRIES: usize = 3;
+/// Maximum number of other entries in the answer to an announcement.
+const MAX_OTHER_ENTRIES: usize = 3;
 
-/// The servers as this entry knows them.
+/// All backend servers that this entry knows.
 pub(crate) struct ServerCatalog {
     context: Arc<EntryContext>,
     link: Arc<dyn PeerLink>,
-    desk: OwnedShards,
+    shards: OwnedShards,
     directory: Mutex<ServerDirectory>,
-    clocks: RwLock<HashMap<EntryName, Arc<BeatClock>>>,
-    pulling: Mutex<BTreeSet<EntryName>>,
-    /// Held while a pool is brought up to date, so that an older account never follows a newer.
-    refreshing: Mutex<()>,
+    clocks: RwLock<HashMap<EntryName, Arc<HeartbeatClock>>>,
+    active_pulls: Mutex<BTreeSet<EntryName>>,
+    /// Held while pools are updated, so that older data never overwrites newer data.
+    refresh_lock: Mutex<()>,
     /// Pools of all services.
     pub(crate) pools: PoolTable,
     started: Instant,
-    this: Weak<Self>,
+    weak_self: Weak<Self>,
 }
 
 impl ServerCatalog {
@@ -61,75 +62,76 @@
         link: Arc<dyn PeerLink>,
         settings: LoadSettings,
     ) -> Arc<Self> {
-        Arc::new_cyclic(|this: &Weak<Self>| {
-            let observer: Weak<dyn ServerObserver> = this.clone();
+        Arc::new_cyclic(|weak_self: &Weak<Self>| {
+            let observer: Weak<dyn ServerObserver> = weak_self.clone();
             Self {
-                desk: OwnedShards::new(context.clone()),
+                shards: OwnedShards::new(context.clone()),
                 directory: Mutex::default(),
                 clocks: RwLock::default(),
-                pulling: Mutex::default(),
-                refreshing: Mutex::default(),
+                active_pulls: Mutex::default(),
+                refresh_lock: Mutex::default(),
                 pools: PoolTable::new(context.clone(), observer, settings),
                 started: Instant::now(),
                 context,
                 link,
-                this: this.clone(),
+                weak_self: weak_self.clone(),
             }
         })
     }
 
-    /// Sends beats until the process ends.
+    /// Removes expired servers and sends heartbeats periodically until the timer service ends.
     pub(crate) async fn run(self: Arc<Self>) {
-        let mut ticks = self.context.timer.subscribe(BEAT_PERIOD);
+        let mut ticks = self.context.timer.subscribe(HEARTBEAT_PERIOD);
         while ticks.tick().await.is_some() {
-            // A shard owner whose view is not fresh may have been replaced.
+            // While the view is not fresh, another entry may already own these shards.
             if !self.context.is_open() {
                 continue;
             }
-            for server in self.desk.expire() {
+            for server in self.shards.expire() {
                 let detail = "announcements ran out".to_owned();
                 self.context.record_server(EventKind::ServerGone, &server, detail);
             }
             self.publish();
-            self.refresh(self.desk.cold_services());
+            self.refresh_pools(self.shards.cold_services());
         }
     }
 
-    /// Takes a new view over.
+    /// Applies a new view to the owned shards, the directory and the pools.
     pub(crate) fn view_changed(&self, view: &ClusterView) {
         let mut services: BTreeSet<ServiceName> = self.pools.services().into_iter().collect();
         {
             let mut directory = self.directory.lock();
-            self.desk.view_changed(view, &directory.all_records());
+            self.shards.view_changed(view, &directory.all_records());
             services.extend(directory.retain_entries(view));
             services.extend(directory.services().cloned());
         }
-        self.pull_own();
-        self.refresh(services);
-        self.send_beats(view);
+        self.apply_own_registry();
+        self.refresh_pools(services);
+        self.send_heartbeats(view);
     }
 
-    /// Takes a beat in.
-    pub(crate) fn observe_beat(&self, host: &HostName, beat: &OwnerBeat) {
-        if beat.owner.entry.as_str() != host.as_str() {
+    /// Handles a heartbeat of another entry. Starts a pull if the directory is behind its registry.
+    pub(crate) fn handle_heartbeat(&self, host: &HostName, heartbeat: &OwnerBeat) {
+        if heartbeat.owner.entry.as_str() != host.as_str() {
             self.context.counters.servers.count("beat-refused");
             return;
         }
         let now = Instant::now();
-        let request = self.directory.lock().observe_beat(beat, now);
+        let request = self.directory.lock().observe_beat(heartbeat, now);
         match request {
-            None => self.clock(&beat.owner.entry).confirm(now),
-            Some(request) => self.start_pull(beat.owner.clone(), request),
+            None => self.clock(&heartbeat.owner.entry).confirm(now),
+            Some(request) => self.start_pull(heartbeat.owner.clone(), request),
         }
     }
 
-    /// Returns what another entry lacks of this entry's registry.
-    pub(crate) fn delta(&self, request: &RegistryRequest) -> RegistryDelta {
-        self.desk.delta(request)
+    /// Returns the changes of this entry's registry that another entry lacks.
+    pub(crate) fn registry_delta(&self, request: &RegistryRequest) -> RegistryDelta {
+        self.shards.delta(request)
     }
 
-    /// Takes an announcement in that another entry passed on.
-    pub(crate) fn announce_here(&self, announcement: &Announcement) -> Result<(), String> {
+    /// Registers an announcement of a server that this entry owns, received directly or from
+    /// another entry. Fails with the reason for a refusal.
+    pub(crate) fn register_announcement(&self, announcement: &Announcement) -> Result<(), String> {
         let view = self.context.view();
         let lease = view.server_lease(&announcement.server);
         if lease.is_none_or(|lease| lease.owner != self.context.name()) {
@@ -138,8 +140,8 @@
         if !self.context.is_open() {
             return Err("this entry cannot confirm its view".to_owned());
         }
-        let known = self.directory.lock().last_record(&announcement.server).cloned();
-        let outcome = self.desk.announce(announcement, known.as_ref());
+        let last_record = self.directory.lock().last_record(&announcement.server).cloned();
+        let outcome = self.shards.announce(announcement, last_record.as_ref());
         match outcome {
             AnnounceOutcome::Started | AnnounceOutcome::Changed => {
                 let detail = format!("{:?}", announcement.state);
@@ -156,25 +158,25 @@
         Ok(())
     }
 
-    /// Takes a suspicion of another entry in.
-    pub(crate) fn take_suspicion(&self, report: &SuspectReport) {
-        if self.desk.suspect(report) {
+    /// Applies a report of a suspected server and publishes the change.
+    pub(crate) fn apply_suspicion(&self, report: &SuspectReport) {
+        if self.shards.suspect(report) {
             self.publish();
         }
     }
 
     /// Returns the warm servers in this entry's ranges.
-    pub(crate) fn own_warm_servers(&self) -> Vec<ServerRecord> {
-        self.desk.own_warm_servers()
+    pub(crate) fn owned_warm_servers(&self) -> Vec<ServerRecord> {
+        self.shards.owned_warm_servers()
     }
 
-    /// Says whether a server has answered a request of this entry lately.
-    pub(crate) fn has_answered_lately(&self, record: &ServerRecord, now: Instant) -> bool {
+    /// Returns whether a server has answered a request of this entry recently.
+    pub(crate) fn has_answered_recently(&self, record: &ServerRecord, now: Instant) -> bool {
         let pool = self.pools.pool(&record.announcement.service);
-        pool.has_answered_lately(&record.announcement.server, now)
+        pool.has_answered_recently(&record.announcement.server, now)
     }
 
-    /// Returns all servers as this entry knows them, ordered by name.
+    /// Returns all servers that this entry knows, ordered by service and name.
     pub(crate) fn server_views(&self) -> Vec<ServerView> {
         let view = self.context.view();
         let directory = self.directory.lock();
@@ -183,32 +185,34 @@
         found.map(|server| self.server_view(server, &view, DEFAULT_TIMEOUT)).collect()
     }
 
-    /// Makes a change of this entry's registry known, here and to all others.
+    /// Applies changes of this entry's registry to its own directory and announces them to all
+    /// other entries.
     fn publish(&self) {
-        self.pull_own();
-        self.send_beats(&self.context.view());
+        self.apply_own_registry();
+        self.send_heartbeats(&self.context.view());
     }
 
-    fn send_beats(&self, view: &ClusterView) {
+    /// Sends a heartbeat to all other entries, unless the view is not fresh.
+    fn send_heartbeats(&self, view: &ClusterView) {
         if !self.context.is_open() {
             return;
         }
-        let (beat, name) = (self.desk.beat(), self.context.name());
+        let (heartbeat, name) = (self.shards.heartbeat(), self.context.name());
         for entry in view.entries().filter(|entry| entry.name != name) {
             if let Some(target) = peer_target(entry) {
-                self.link.send(&target, PeerRequest::Beat(beat.clone()));
+                self.link.send(&target, PeerRequest::Beat(heartbeat.clone()));
             }
         }
     }
 
-    /// Brings the directory up to date with this entry's own registry.
-    fn pull_own(&self) {
+    /// Updates the directory from this entry's own registry.
+    fn apply_own_registry(&self) {
         let now = Instant::now();
         let changed = {
             let mut directory = self.directory.lock();
             let mut changed = BTreeSet::new();
-            while let Some(request) = directory.observe_beat(&self.desk.beat(), now) {
-                let delta = self.desk.delta(&request);
+            while let Some(request) = directory.observe_beat(&self.shards.heartbeat(), now) {
+                let delta = self.shards.delta(&request);
                 changed.extend(directory.apply(&delta, now));
             }
             changed
@@ -216,30 +220,31 @@
         if self.context.is_open() {
             self.clock(&self.context.name()).confirm(now);
         }
-        self.refresh(changed);
+        self.refresh_pools(changed);
     }
 
+    /// Starts to pull a shard owner's registry, unless a pull from it is already running.
     fn start_pull(&self, owner: ShardOwnerId, request: RegistryRequest) {
-        if !self.pulling.lock().insert(owner.entry.clone()) {
+        if !self.active_pulls.lock().insert(owner.entry.clone()) {
             return;
         }
-        let Some(catalog) = self.this.upgrade() else {
+        let Some(catalog) = self.weak_self.upgrade() else {
             return;
         };
         tokio::spawn(async move {
             catalog.pull(&owner, request).await;
-            catalog.pulling.lock().remove(&owner.entry);
+            catalog.active_pulls.lock().remove(&owner.entry);
         });
     }
 
-    /// Pulls a shard owner's registry until nothing is left of it.
+    /// Pulls a shard owner's registry until the directory has all of its changes.
     async fn pull(&self, owner: &ShardOwnerId, first: RegistryRequest) {
         let Some(target) = self.entry_target(&owner.entry) else {
             return;
         };
         let mut request = first;
         loop {
-            let asked = Instant::now();
+            let sent = Instant::now();
             let message = PeerRequest::Registry(request.clone());
             let answer = self.link.call(&target, message, OWNER_TIMEOUT).await;
             let Ok(PeerAnswer::Registry(delta)) = answer else {
@@ -249,18 +254,18 @@
             let is_progress = delta.is_whole || delta.version > request.since;
             let incarnation = delta.owner.incarnation;
             let since = delta.version;
-            let is_full = !delta.changes.is_empty();
-            let changed = self.directory.lock().apply(&delta, asked);
-            self.clock(&owner.entry).confirm(asked);
-            self.refresh(changed);
-            let told = delta.changes.iter().filter_map(|change| match change {
+            let has_changes = !delta.changes.is_empty();
+            let changed = self.directory.lock().apply(&delta, sent);
+            self.clock(&owner.entry).confirm(sent);
+            self.refresh_pools(changed);
+            let records = delta.changes.iter().filter_map(|change| match change {
                 RegistryChange::Put(record) => Some(record),
                 RegistryChange::Remove(_) => None,
             });
-            if self.desk.adopt(told) {
+            if self.shards.adopt(records) {
                 self.publish();
             }
-            if !is_progress || !is_full || since == NO_VERSION {
+            if !is_progress || !has_changes || since == INITIAL_VERSION {
                 return;
             }
             request = RegistryRequest { incarnation, since };
@@ -268,9 +273,9 @@
         }
     }
 
-    /// Brings the pools of services up to date.
-    fn refresh(&self, services: impl IntoIterator<Item = ServiceName>) {
-        let _guard = self.refreshing.lock();
+    /// Updates the pools of services from the directory and the view.
+    fn refresh_pools(&self, services: impl IntoIterator<Item = ServiceName>) {
+        let _guard = self.refresh_lock.lock();
         let view = self.context.view();
         for service in services {
             let found = self.directory.lock().servers(&service, &view);
@@ -283,6 +288,7 @@
         }
     }
 
+    /// Returns a server with the state that the pools need.
     fn server_view(
         &self,
         server: DirectoryServer,
@@ -293,32 +299,36 @@
         let is_own = owner == self.context.name();
         let may_warm = is_own
             && record.stage == ServerStage::Cold
-            && self.desk.may_warm(&record.announcement.server, timeout);
+            && self.shards.may_warm(&record.announcement.server, timeout);
         let is_drained = view.is_drained(&record.announcement.domain);
         ServerView { record, owner, may_warm, is_drained }
     }
 
-    fn clock(&self, owner: &EntryName) -> Arc<BeatClock> {
+    /// Returns the clock of an owner's confirmations, which all pools share.
+    fn clock(&self, owner: &EntryName) -> Arc<HeartbeatClock> {
         if let Some(clock) = self.clocks.read().get(owner) {
             return clock.clone();
         }
         let mut clocks = self.clocks.write();
-        let clock =
-            clocks.entry(owner.clone()).or_insert_with(|| Arc::new(BeatClock::new(self.started)));
+        let clock = clocks
+            .entry(owner.clone())
+            .or_insert_with(|| Arc::new(HeartbeatClock::new(self.started)));
         clock.clone()
     }
 
+    /// Returns the peer address of an entry, or `None` if the view does not have the entry.
     pub(crate) fn entry_target(&self, name: &EntryName) -> Option<PeerTarget> {
         peer_target(self.context.view().entry(name)?)
     }
 
+    /// Returns the answer to an accepted announcement, or `None` if the owner is not in the view.
     fn announce_answer(&self, owner: &EntryName) -> Option<AnnounceAnswer> {
         let view = self.context.view();
         let others = view
             .entries()
             .filter(|entry| entry.name != *owner && entry.serving)
             .map(|entry| entry.server_address)
-            .take(OTHER_ENTRIES)
+            .take(MAX_OTHER_ENTRIES)
             .collect();
         Some(AnnounceAnswer {
             owner: view.entry(owner)?.server_address,
@@ -338,7 +348,7 @@
         let lease = self.context.view().server_lease(&announcement.server).cloned();
         let owner = lease.ok_or_else(|| unavailable("no owner yet"))?.owner;
         if owner == self.context.name() {
-            self.announce_here(&announcement).map_err(|reason| unavailable(&reason))?;
+            self.register_announcement(&announcement).map_err(|reason| unavailable(&reason))?;
         } else {
             let target = self.entry_target(&owner);
             let target = target.ok_or_else(|| unavailable("the owner is unknown"))?;
@@ -355,7 +365,7 @@
 
 impl ServerObserver for ServerCatalog {
     fn server_warmed(&self, server: &ServerName, incarnation: ServerIncarnation) {
-        if self.desk.mark_warm(server, incarnation) {
+        if self.shards.mark_warm(server, incarnation) {
             self.context.record_server(EventKind::ServerWarm, server, String::new());
             self.publish();
         }
@@ -366,7 +376,7 @@
         let report =
             SuspectReport { server: server.name.clone(), incarnation: server.incarnation, kind };
         if server.owner == self.context.name() {
-            self.take_suspicion(&report);
+            self.apply_suspicion(&report);
         } else if let Some(target) = self.entry_target(&server.owner) {
             self.link.send(&target, PeerRequest::Suspect(report));
         }
@@ -378,7 +388,7 @@
     }
 }
 
-/// Returns where an entry's process is reached.
+/// Returns the peer address of an entry, or `None` if its name is not a valid host name.
 fn peer_target(entry: &EntryInfo) -> Option<PeerTarget> {
     let host = entry.name.as_str().parse().ok()?;
     Some(PeerTarget { host, address: entry.peer_address })
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of requests that may not be repeated.
+//! Claims of requests that are not idempotent.
 
 use async_trait::async_trait;
 use follow::{LeaderFinder, SubmitResult};
@@ -12,53 +12,55 @@
     CommandAnswer,
 };
 
-/// How long the end of a claim is tried to be recorded.
-const RECORD_LIMIT: Duration = Duration::from_millis(CLAIM_RETENTION_MS);
+/// Time after which an entry stops trying to record the end of a claim.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(CLAIM_RETENTION_MS);
 
-/// Says why a claim is not decided.
+/// The reason why a claim was not decided.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ClaimError {
-    /// The deadline passed; the claim may be granted yet.
+    /// The deadline passed; the claim may still be granted.
     #[error("the claim could not be decided in time")]
     Undecided,
-    /// The leader refuses to take claims.
+    /// The leader refused the claim.
     #[error("the claim was refused: {0}")]
     Refused(String),
 }
 
-/// Where claims are decided.
+/// Decides and records claims.
 #[async_trait]
 pub trait ClaimLedger: Send + Sync {
-    /// Decides a claim. The same attempt is repeated until its answer is known.
+    /// Decides a claim. Submits the same attempt again until its answer is known or the deadline
+    /// passes.
     async fn claim(
         &self,
         request: &ClaimRequest,
         deadline: Instant,
     ) -> Result<ClaimAnswer, ClaimError>;
 
-    /// Gives a claim up in the background; keeps trying to.
+    /// Releases a claim in the background, with retries.
     fn release(&self, release: ClaimRelease);
 
-    /// Records the end of a claimed request in the background.
+    /// Records the result of a claimed request in the background, with retries.
     fn finish(&self, result: ClaimResult);
 }
 
-/// Claims in the replicated log.
+/// Stores claims in the replicated log.
 pub struct ReplicatedLedger {
     leader: Arc<LeaderFinder>,
 }
 
 impl ReplicatedLedger {
-    /// Returns a ledger that asks this leader.
+    /// Returns a ledger that submits commands to this leader.
     pub fn new(leader: Arc<LeaderFinder>) -> Self {
         Self { leader }
     }
 
+    /// Submits a command until it is applied, refused or too old to matter.
     fn submit_in_background(&self, command: Command) {
         let leader = self.leader.clone();
         tokio::spawn(async move {
-            // Past the limit the claim is forgotten anyway.
-            let _ = leader.submit(command, Instant::now() + RECORD_LIMIT).await;
+            // The replicas drop the claim after this time in any case.
+            let _ = leader.submit(command, Instant::now() + RECORD_TIMEOUT).await;
         });
     }
 }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of an entry share.
+//! State and services shared by all parts of an entry.
 
 use parking_lot::{Mutex, RwLock};
 use policy::FreshnessGate;
@@ -17,16 +17,16 @@
 /// Counters of an entry's decisions.
 #[derive(Debug, Clone)]
 pub struct EntryCounters {
-    /// Requests of callers.
+    /// Decisions on requests of callers.
     pub calls: DecisionCounters,
-    /// Freshness of the view.
+    /// Confirmations of the view.
     pub freshness: DecisionCounters,
-    /// Servers and owners.
+    /// Decisions on servers and shard owners.
     pub servers: DecisionCounters,
 }
 
 impl EntryCounters {
-    /// Registers the counters.
+    /// Registers the counters with `metrics`.
     pub fn new(metrics: &MetricsRegistry) -> Self {
         Self {
             calls: metrics.decisions("calls", "Decisions on requests of callers"),
@@ -36,17 +36,17 @@
     }
 }
 
-/// Identity, view, clock and instruments of an entry.
+/// An entry's registration, view, random numbers, timer, counters, timeline and logger.
 pub struct EntryContext {
-    /// This entry, as it registers itself.
+    /// The registration of this entry, which it sends to the replicas.
     pub info: RwLock<EntryInfo>,
-    /// The gate before new work.
+    /// Closed while the view is not fresh; new work starts only while it is open.
     pub gate: FreshnessGate,
-    /// Counters.
+    /// Counters of the entry's decisions.
     pub counters: EntryCounters,
-    /// Time line.
+    /// Event timeline.
     pub timeline: EventTimeline,
-    /// Log.
+    /// Logger.
     pub logger: Logger,
     /// Timer service.
     pub timer: TimerService,
@@ -86,13 +86,13 @@
         self.info.read().incarnation
     }
 
-    /// Returns this entry as a shard owner.
+    /// Returns the identity of this entry as a shard owner.
     pub fn owner_id(&self) -> ShardOwnerId {
         let info = self.info.read();
         ShardOwnerId { entry: info.name.clone(), incarnation: info.incarnation }
     }
 
-    /// Returns the view. Whoever acts on it asks the gate first.
+    /// Returns the view. Check [`is_open`](Self::is_open) before acting on it.
     pub fn view(&self) -> Arc<ClusterView> {
         self.view.read().clone()
     }
@@ -102,12 +102,12 @@
         *self.view.write() = view;
     }
 
-    /// Says whether new work may start now.
+    /// Returns whether new work may start now.
     pub fn is_open(&self) -> bool {
         self.gate.is_open(Instant::now())
     }
 
-    /// Runs a closure with the entry's random numbers.
+    /// Runs a closure with the entry's random number generator.
     pub fn with_rng<T>(&self, draw: impl FnOnce(&mut SmallRng) -> T) -> T {
         draw(&mut self.rng.lock())
     }
@@ -125,16 +125,16 @@
     }
 }
 
-/// The version before any change of a registry.
-pub(crate) const NO_VERSION: RegistryVersion = RegistryVersion(0);
+/// The version of a registry before its first change.
+pub(crate) const INITIAL_VERSION: RegistryVersion = RegistryVersion(0);
 
-/// Returns the time left until a deadline, in whole milliseconds, at least 1.
-pub(crate) fn left_ms(deadline: Instant) -> u32 {
-    let left = deadline.saturating_duration_since(Instant::now()).as_millis();
-    left.clamp(1, u128::from(u32::MAX)) as u32
+/// Returns the time left until a deadline in whole milliseconds, at least 1.
+pub(crate) fn remaining_ms(deadline: Instant) -> u32 {
+    let remaining = deadline.saturating_duration_since(Instant::now()).as_millis();
+    remaining.clamp(1, u128::from(u32::MAX)) as u32
 }
 
-/// Returns a duration in whole milliseconds.
-pub(crate) fn whole_ms(duration: Duration) -> u32 {
+/// Returns a duration in whole milliseconds, at most `u32::MAX`.
+pub(crate) fn duration_ms(duration: Duration) -> u32 {
     duration.as_millis().min(u128::from(u32::MAX)) as u32
 }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -1,15 +1,15 @@
-//! The way of a request through an entry: admission, attempts, retries, hedges, handing over.
+//! Processing of requests: admission, attempts, retries, hedging, and forwarding to other entries.
 
 use crate::{
     EntryContext,
     active_call::{ActiveCall, CallSource},
-    attempts::{AttemptEnd, TryRunner},
+    attempts::{AttemptEnd, AttemptRunner},
     catalog::ServerCatalog,
     claims::ClaimLedger,
-    context::{left_ms, whole_ms},
-    once::OnceRunner,
+    context::{duration_ms, remaining_ms},
+    once::AtMostOnceRunner,
     prepared_call::PreparedCall,
-    relay::{CallRelay, ForwardEnd, MAX_ATTEMPTS, unseen_outcome},
+    relay::{CallForwarder, ForwardResult, MAX_ATTEMPTS, unclaimed_outcome},
     service_pool::{AcquireError, ServerPermit},
 };
 use async_trait::async_trait;
@@ -33,23 +33,23 @@
 };
 use uuid::Uuid;
 
-/// Entries that the directory names for a service.
-const DIRECTORY_ENTRIES: usize = 3;
-/// Part of a request's time that it may spend on warming a server up.
+/// Maximum number of entries that the directory returns for a service.
+const MAX_DIRECTORY_ENTRIES: usize = 3;
+/// The part of a request's remaining time that may be spent on a cold server, as a divisor.
 const WARM_UP_DIVISOR: u32 = 4;
-/// Time after which a caller should ask again while an entry is closed.
+/// Minimum time after which a caller should retry while an entry does not accept work.
 const CLOSED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Brings requests to servers.
+/// Admits requests and runs them on servers.
 pub struct CallDispatcher {
     pub(crate) context: Arc<EntryContext>,
     pub(crate) catalog: Arc<ServerCatalog>,
-    pub(crate) runner: TryRunner,
+    pub(crate) runner: AttemptRunner,
     link: Arc<dyn PeerLink>,
     admission: AdmissionGate,
     directory_max_age: Duration,
-    once: OnceRunner,
-    this: Weak<Self>,
+    at_most_once: AtMostOnceRunner,
+    weak_self: Weak<Self>,
 }
 
 impl CallDispatcher {
@@ -62,25 +62,26 @@
         admission: AdmissionGate,
         directory_max_age: Duration,
     ) -> Arc<Self> {
-        let runner = TryRunner { context: context.clone(), transport };
-        let once = OnceRunner::new(runner.clone(), ledger);
-        Arc::new_cyclic(|this| Self {
+        let runner = AttemptRunner { context: context.clone(), transport };
+        let at_most_once = AtMostOnceRunner::new(runner.clone(), ledger);
+        Arc::new_cyclic(|weak_self: &Weak<Self>| Self {
             context,
             catalog,
             runner,
             link,
             admission,
             directory_max_age,
-            once,
-            this: this.clone(),
+            at_most_once,
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// Serves a request that another entry handed over.
+    /// Runs a request that another entry forwarded.
     pub(crate) async fn serve_forwarded(&self, call: CallRequest) -> CallAnswer {
         self.serve(call, CallSource::Entry).await
     }
 
+    /// Runs a request, records its events and counts its outcome.
     async fn serve(&self, call: CallRequest, source: CallSource) -> CallAnswer {
         let id = call.id;
         let detail = format!("{} {} for {}", call.method, call.path, call.service);
@@ -92,6 +93,7 @@
         answer
     }
 
+    /// Checks whether the entry can accept a request, and runs it if so.
     async fn admit(&self, mut call: CallRequest, source: CallSource) -> CallAnswer {
         let view = self.context.view();
         let Some(spec) = view.service(&call.service) else {
@@ -104,9 +106,9 @@
         if !self.context.is_open() {
             return self.refuse_closed(call.key);
         }
-        let is_repeatable = spec.is_repeatable(&call.method, &call.path);
-        let stated_key = call.key;
-        if !is_repeatable {
+        let is_idempotent = spec.is_repeatable(&call.method, &call.path);
+        let caller_key = call.key;
+        if !is_idempotent {
             call.key.get_or_insert_with(Uuid::now_v7);
         }
         let prepared = match PreparedCall::new(&call) {
@@ -114,34 +116,37 @@
             Err(reason) => return CallAnswer::refusal(400, CallOutcome::NotRun, &reason),
         };
         let pool = self.catalog.pools.pool(&call.service);
-        let held_total = self.catalog.pools.held.load(Ordering::Relaxed);
-        if !self.admission.admits(spec.priority, held_total, pool.held()) {
+        let total_in_flight = self.catalog.pools.in_flight.load(Ordering::Relaxed);
+        if !self.admission.admits(spec.priority, total_in_flight, pool.in_flight()) {
             self.context.counters.calls.count("shed");
-            return self.refuse_busy(stated_key, Duration::ZERO);
+            return self.refuse_busy(caller_key, Duration::ZERO);
         }
-        let _held = pool.hold(&self.catalog.pools.held);
-        pool.note_request(spec);
-        let deadline = Instant::now() + allowed_time(&call, spec);
-        let active = ActiveCall::new(call, stated_key, prepared, pool, deadline, source);
-        if is_repeatable {
-            active.qualify(self.run_repeatable(&active).await)
+        let _guard = pool.track_in_flight(&self.catalog.pools.in_flight);
+        pool.record_request(spec);
+        let deadline = Instant::now() + call_timeout(&call, spec);
+        let active = ActiveCall::new(call, caller_key, prepared, pool, deadline, source);
+        if is_idempotent {
+            active.adjust_outcome(self.run_idempotent(&active).await)
         } else {
             self.run_detached(active).await
         }
     }
 
-    /// Runs a request that may not be repeated to its end, even if its caller goes away.
+    /// Runs a request that is not idempotent in its own task, so that it completes even if its
+    /// caller disconnects.
     async fn run_detached(&self, active: ActiveCall) -> CallAnswer {
         let failed = || CallAnswer::refusal(500, CallOutcome::Unknown, "the entry failed");
-        let Some(dispatcher) = self.this.upgrade() else {
+        let Some(dispatcher) = self.weak_self.upgrade() else {
             return failed();
         };
-        let task = tokio::spawn(async move { dispatcher.once.run(&*dispatcher, active).await });
+        let task =
+            tokio::spawn(async move { dispatcher.at_most_once.run(&*dispatcher, active).await });
         task.await.unwrap_or_else(|_| failed())
     }
 
-    async fn run_repeatable(&self, active: &ActiveCall) -> CallAnswer {
-        if let Some(answer) = self.warm_up(active).await {
+    /// Runs an idempotent request, with retries and hedging.
+    async fn run_idempotent(&self, active: &ActiveCall) -> CallAnswer {
+        if let Some(answer) = self.forward_for_warm_up(active).await {
             return answer;
         }
         let mut excluded: SmallVec<[ServerName; 2]> = SmallVec::new();
@@ -155,7 +160,7 @@
             let permit = match acquired {
                 Ok(permit) => permit,
                 Err(AcquireError::NoneEligible(owners)) => {
-                    return self.run_elsewhere(active, owners, last).await;
+                    return self.forward_to_owners(active, owners, last).await;
                 }
                 Err(AcquireError::TooBusy(wait)) => return self.refuse_busy(None, wait),
             };
@@ -167,12 +172,12 @@
             let detail = format!("{last:?}");
             self.context.record_call(EventKind::CallRetried, active.call.id, detail);
         }
-        self.give_up(last)
+        self.final_answer(last)
     }
 
-    /// Runs one try, and a second one elsewhere if the first takes long: after most answers have
-    /// come, if the budget of hedges has one, or when half of the time has passed, if that of
-    /// retries has one.
+    /// Runs one attempt, and a second one at another server if the first is slow: after the
+    /// service's 95th percentile of latency if the hedge budget allows it, or else when half of the
+    /// remaining time has passed, if the retry budget allows it.
     async fn run_hedged(
         &self,
         active: &ActiveCall,
@@ -180,31 +185,32 @@
         excluded: &[ServerName],
     ) -> AttemptEnd {
         let started = Instant::now();
-        let half = active.deadline.saturating_duration_since(started) / 2;
+        let half_time = active.deadline.saturating_duration_since(started) / 2;
         let first = self.runner.run(active, permit);
         tokio::pin!(first);
-        if let Some(delay) = active.pool.hedge_delay().filter(|delay| *delay < half) {
+        if let Some(delay) = active.pool.hedge_delay().filter(|delay| *delay < half_time) {
             tokio::select! {
                 end = &mut first => return end,
                 () = sleep_until((started + delay).into()) => {}
             }
             if active.pool.take_hedge() {
-                return self.race(active, first, excluded).await;
+                return self.race_second_attempt(active, first, excluded).await;
             }
         }
         tokio::select! {
             end = &mut first => return end,
-            () = sleep_until((started + half).into()) => {}
+            () = sleep_until((started + half_time).into()) => {}
         }
         if active.pool.take_retry() {
-            return self.race(active, first, excluded).await;
+            return self.race_second_attempt(active, first, excluded).await;
         }
         first.await
     }
 
-    /// Runs a second try beside the first. The one that loses is dropped, which cancels it at its
-    /// server.
-    async fn race(
+    /// Starts a second attempt concurrently with the first and returns the first answer. Then the
+    /// other attempt is dropped, which cancels it at its server. An attempt that ends without an
+    /// answer leaves the result to the other.
+    async fn race_second_attempt(
         &self,
         active: &ActiveCall,
         mut first: Pin<&mut (impl Future<Output = AttemptEnd> + Send)>,
@@ -230,6 +236,8 @@
         }
     }
 
+    /// Returns whether the request may be retried after this result, and takes a retry from the
+    /// budget if so.
     fn may_retry(&self, active: &ActiveCall, last: &AttemptEnd) -> bool {
         if Instant::now() >= active.deadline {
             return false;
@@ -238,30 +246,32 @@
             AttemptEnd::Closed | AttemptEnd::Late | AttemptEnd::Answered(_) => false,
             AttemptEnd::NotRun(_) | AttemptEnd::Unknown(_) => {
                 let is_granted = active.pool.take_retry();
-                let counted = if is_granted { "retried" } else { "retry-refused" };
-                self.context.counters.calls.count(counted);
+                let decision = if is_granted { "retried" } else { "retry-refused" };
+                self.context.counters.calls.count(decision);
                 is_granted
             }
         }
     }
 
-    /// Gives a shard owner's cold servers a share of the work, so that they warm up.
-    async fn warm_up(&self, active: &ActiveCall) -> Option<CallAnswer> {
+    /// Forwards the request to a shard owner with cold servers if one is due for warm-up. Returns
+    /// the answer if the request ran there.
+    async fn forward_for_warm_up(&self, active: &ActiveCall) -> Option<CallAnswer> {
         if active.source == CallSource::Entry {
             return None;
         }
         let owner = active.pool.take_warm_up()?;
-        // A cold server may be slow, so enough time is kept to run the request here after all.
+        // A cold server may be slow, so most of the time is reserved for running the request here.
         let now = Instant::now();
         let share = active.deadline.saturating_duration_since(now) / WARM_UP_DIVISOR;
         match self.forward(active, &owner, now + share).await {
-            ForwardEnd::Answered(answer) if answer.outcome == CallOutcome::Ran => Some(answer),
+            ForwardResult::Answered(answer) if answer.outcome == CallOutcome::Ran => Some(answer),
             _ => None,
         }
     }
 
-    /// Runs a repeatable request at an entry that may give servers work which this one may not.
-    async fn run_elsewhere(
+    /// Forwards an idempotent request to the owners of cold servers, which only they may use.
+    /// Refuses the request if none of them answers.
+    async fn forward_to_owners(
         &self,
         active: &ActiveCall,
         owners: SmallVec<[EntryName; 2]>,
@@ -269,7 +279,7 @@
     ) -> CallAnswer {
         if active.source == CallSource::Caller {
             for owner in owners {
-                if let ForwardEnd::Answered(answer) =
+                if let ForwardResult::Answered(answer) =
                     self.forward(active, &owner, active.deadline).await
                 {
                     return answer;
@@ -278,11 +288,12 @@
         }
         match last {
             AttemptEnd::NotRun(_) => self.refuse_busy(None, CLOSED_RETRY_AFTER),
-            last => self.give_up(last),
+            last => self.final_answer(last),
         }
     }
 
-    fn give_up(&self, last: AttemptEnd) -> CallAnswer {
+    /// Returns the answer to a request that is not retried after its last attempt.
+    fn final_answer(&self, last: AttemptEnd) -> CallAnswer {
         match last {
             AttemptEnd::Answered(answer) => answer,
             AttemptEnd::Closed => self.refuse_closed(None),
@@ -299,56 +310,62 @@
 }
 
 #[async_trait]
-impl CallRelay for CallDispatcher {
-    async fn forward(&self, active: &ActiveCall, to: &EntryName, deadline: Instant) -> ForwardEnd {
-        // While ranges move, a server may be listed under this entry before it may warm it up.
+impl CallForwarder for CallDispatcher {
+    async fn forward(
+        &self,
+        active: &ActiveCall,
+        to: &EntryName,
+        deadline: Instant,
+    ) -> ForwardResult {
+        // While ranges move, this entry can be listed as the owner of cold servers before it may
+        // use them.
         if *to == self.context.name() {
-            return ForwardEnd::NotReached;
+            return ForwardResult::NotReached;
         }
         let Some(target) = self.catalog.entry_target(to) else {
-            return ForwardEnd::NotReached;
+            return ForwardResult::NotReached;
         };
-        // Handing over is starting work: it needs a fresh view like any other.
+        // Forwarding starts new work, which requires a fresh view.
         if !self.context.is_open() {
-            return ForwardEnd::NotReached;
+            return ForwardResult::NotReached;
         }
         self.context.counters.calls.count("forwarded");
         self.context.record_call(EventKind::CallForwarded, active.call.id, format!("to {to}"));
-        let deadline_ms = left_ms(deadline);
+        let deadline_ms = remaining_ms(deadline);
         let call = CallRequest { deadline_ms, ..active.call.clone() };
         let timeout = Duration::from_millis(u64::from(deadline_ms));
-        active.note_sent();
+        active.record_start();
         match self.link.call(&target, PeerRequest::CallForward(call), timeout).await {
             Ok(PeerAnswer::CallForward(answer)) => {
                 if answer.outcome == CallOutcome::NotRun {
-                    active.note_not_run();
+                    active.record_not_run();
                 }
-                ForwardEnd::Answered(*answer)
+                ForwardResult::Answered(*answer)
             }
             Ok(_) | Err(PeerError::NotReached { .. }) => {
-                active.note_not_run();
-                ForwardEnd::NotReached
+                active.record_not_run();
+                ForwardResult::NotReached
             }
-            Err(error) => ForwardEnd::Unknown(error.to_string()),
+            Err(error) => ForwardResult::Unknown(error.to_string()),
         }
     }
 
-    fn refuse_closed(&self, key: Option<Uuid>) -> CallAnswer {
+    fn refuse_closed(&self, caller_key: Option<Uuid>) -> CallAnswer {
         self.context.counters.calls.count("closed");
         let reason = "this entry cannot confirm its configuration; use another one";
-        CallAnswer::refusal(503, unseen_outcome(key), reason)
+        CallAnswer::refusal(503, unclaimed_outcome(caller_key), reason)
             .with_retry_after(self.retry_after_ms(CLOSED_RETRY_AFTER))
     }
 
-    fn refuse_busy(&self, key: Option<Uuid>, wait: Duration) -> CallAnswer {
+    fn refuse_busy(&self, caller_key: Option<Uuid>, wait: Duration) -> CallAnswer {
         self.context.counters.calls.count("busy");
-        CallAnswer::refusal(503, unseen_outcome(key), "no server has room")
+        CallAnswer::refusal(503, unclaimed_outcome(caller_key), "no server has room")
             .with_retry_after(self.retry_after_ms(wait))
     }
 
     fn retry_after_ms(&self, wait: Duration) -> u32 {
         let spread = self.context.with_rng(|rng| rng.random::<f64>());
-        whole_ms(retry_after(wait, spread))
+        duration_ms(retry_after(wait, spread))
     }
 }
 
@@ -360,7 +377,7 @@
 
     fn directory(&self, service: &ServiceName) -> DirectoryAnswer {
         let view = self.context.view();
-        let entries = rank_entries(&view, service, DIRECTORY_ENTRIES)
+        let entries = rank_entries(&view, service, MAX_DIRECTORY_ENTRIES)
             .into_iter()
             .map(|entry| DirectoryEntry { name: entry.name.clone(), address: entry.caller_address })
             .collect();
@@ -369,7 +386,7 @@
 
     fn other_entries(&self, service: &ServiceName) -> Vec<SocketAddr> {
         let (view, name) = (self.context.view(), self.context.name());
-        rank_entries(&view, service, DIRECTORY_ENTRIES + 1)
+        rank_entries(&view, service, MAX_DIRECTORY_ENTRIES + 1)
             .into_iter()
             .filter(|entry| entry.name != name)
             .map(|entry| entry.caller_address)
@@ -377,7 +394,8 @@
     }
 }
 
-fn allowed_time(call: &CallRequest, spec: &ServiceSpec) -> Duration {
+/// Returns the time allowed for a request: the caller's, or else the service's.
+fn call_timeout(call: &CallRequest, spec: &ServiceSpec) -> Duration {
     let ms = if call.deadline_ms == 0 { spec.timeout_ms } else { call.deadline_ms };
     Duration::from_millis(u64::from(ms))
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,6 +1,6 @@
-//! The entry: takes requests of callers and brings each to a server.
+//! The entry: accepts requests of callers and forwards each to a backend server.
 //!
-//! Decisions live in `policy`; this package wires them to links, connections and timers.
+//! The decisions are made in `policy`; this crate connects them to links, connections and timers.
 
 mod active_call;
 mod attempts;
@@ -8,7 +8,6 @@
 mod claims;
 mod context;
 mod dispatch;
-mod holder;
 mod node;
 mod once;
 mod owned_shards;
@@ -16,6 +15,7 @@
 mod prober;
 mod relay;
 mod service_pool;
+mod view_store;
 
 pub use claims::{ClaimError, ClaimLedger, ReplicatedLedger};
 pub use context::{EntryContext, EntryCounters};
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,8 +1,8 @@
-//! An entry as a whole: its parts, its tasks, and its planned stop.
+//! Starts the parts and tasks of an entry, routes peer requests to them, and stops them.
 
 use crate::{
-    CallDispatcher, EntryContext, ReplicatedLedger, catalog::ServerCatalog,
-    holder::EntryViewHolder, prober::ServerProber,
+    CallDispatcher, EntryContext, ReplicatedLedger, catalog::ServerCatalog, prober::ServerProber,
+    view_store::EntryViewStore,
 };
 use caller::{CallerListener, IntakeError, IntakeSettings};
 use follow::{FreshnessKeeper, KeeperTools, LeaderFinder};
@@ -15,38 +15,38 @@
 use tokio::{net::TcpListener, sync::Notify, time::sleep};
 use types::{ClusterView, HostName};
 
-/// What an entry is started with, besides its context.
+/// The settings and connections of an entry, besides its context.
 pub struct EntrySettings {
-    /// Replicas to ask first.
+    /// Replicas that are known at the start.
     pub replicas: Vec<PeerTarget>,
     /// Links to other processes.
     pub link: Arc<dyn PeerLink>,
     /// Connections to servers.
     pub transport: Arc<dyn ServerTransport>,
-    /// Limits of the entry.
+    /// Limits for the admission of requests.
     pub admission: AdmissionSettings,
-    /// Choice among servers.
+    /// Settings for the selection of servers.
     pub load: LoadSettings,
-    /// Limits of the intake.
+    /// Limits for the connections and requests of callers.
     pub intake: IntakeSettings,
-    /// How long callers may keep the directory's answer.
+    /// How long callers may cache the directory's answer.
     pub directory_max_age: Duration,
-    /// The longest wait for requests in flight at a planned stop.
+    /// Maximum time to wait for requests in flight at a planned stop.
     pub stop_grace: Duration,
 }
 
-/// Says why an entry could not start.
+/// The reason why an entry could not start.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// The callers' address could not be opened.
+    /// The entry cannot listen on the callers' address.
     #[error("caller_address: {0}")]
     Intake(#[from] IntakeError),
-    /// The servers' address could not be opened.
-    #[error("server_address: {address}: {source}")]
+    /// The entry cannot listen on the servers' address.
+    #[error("server_address: cannot listen on {address}: {source}")]
     Announce {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
@@ -62,7 +62,7 @@
 }
 
 impl EntryNode {
-    /// Opens the entry's addresses and starts its tasks.
+    /// Listens on the entry's addresses and starts its tasks. Fails if an address is not available.
     pub async fn start(
         context: Arc<EntryContext>,
         settings: EntrySettings,
@@ -106,9 +106,8 @@
             logger: context.logger.clone(),
             timer: context.timer.clone(),
         };
-        let holder = Arc::new(EntryViewHolder::new(context.clone(), catalog.clone()));
-        let keeper = FreshnessKeeper::new(holder, leader, tools);
-        tokio::spawn(keeper.run());
+        let store = Arc::new(EntryViewStore::new(context.clone(), catalog.clone()));
+        tokio::spawn(FreshnessKeeper::new(store, leader, tools).run());
         let stop = Arc::new(Notify::new());
         let callers = tokio::spawn(listener.serve(stop.clone(), settings.stop_grace));
         let callers = tokio::sync::Mutex::new(Some(callers));
@@ -121,34 +120,35 @@
         self.context.view()
     }
 
-    /// Returns all servers as this entry knows them.
+    /// Returns all servers that this entry knows.
     pub fn servers(&self) -> Vec<ServerView> {
         self.catalog.server_views()
     }
 
-    /// Says whether the entry takes new work.
+    /// Returns whether the entry accepts new work.
     pub fn is_open(&self) -> bool {
         self.context.is_open()
     }
 
-    /// Answers a peer's request that is meant for entries. Returns `None` for all others.
+    /// Handles a peer's request to an entry. Returns `None` for requests that entries do not
+    /// handle.
     pub async fn handle(&self, host: &HostName, request: PeerRequest) -> Option<PeerAnswer> {
         match request {
-            PeerRequest::Beat(beat) => {
-                self.catalog.observe_beat(host, &beat);
+            PeerRequest::Beat(heartbeat) => {
+                self.catalog.handle_heartbeat(host, &heartbeat);
                 Some(PeerAnswer::Done)
             }
             PeerRequest::Registry(request) => {
-                Some(PeerAnswer::Registry(self.catalog.delta(&request)))
+                Some(PeerAnswer::Registry(self.catalog.registry_delta(&request)))
             }
             PeerRequest::Announce(announcement) => {
-                Some(match self.catalog.announce_here(&announcement) {
+                Some(match self.catalog.register_announcement(&announcement) {
                     Ok(()) => PeerAnswer::Done,
                     Err(reason) => PeerAnswer::Refused(reason),
                 })
             }
             PeerRequest::Suspect(report) => {
-                self.catalog.take_suspicion(&report);
+                self.catalog.apply_suspicion(&report);
                 Some(PeerAnswer::Done)
             }
             PeerRequest::CallForward(call) => {
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Stops without cutting off a request: leaves the directory, serves on while callers may keep
-    /// its former answers, then closes. Returns whether all requests in flight finished.
+    /// Stops the entry gracefully: it leaves the directory, keeps serving while callers may use
+    /// cached directory answers, then closes. Returns whether all requests in flight finished.
     pub async fn stop(&self) -> bool {
         let tags = EventTags::default();
         self.context.timeline.record(EventKind::StopBegun, tags, String::new());
--- a/crates/entry/src/owned_shards.rs
+++ b/crates/entry/src/owned_shards.rs
@@ -1,4 +1,4 @@
-//! This entry's part as a shard owner: the servers in its ranges.
+//! The servers in the ranges that this entry owns.
 
 use crate::EntryContext;
 use parking_lot::Mutex;
@@ -14,19 +14,19 @@
     SuspectReport, server_range,
 };
 
-/// A range that this entry looks after.
+/// A range that this entry owns.
 #[derive(Debug, Clone, Copy)]
-struct OwnRange {
+struct OwnedRange {
     acquired: Instant,
-    /// No owner before this one can have given work to cold servers.
-    is_first: bool,
+    /// The range had no earlier owner that may have sent requests to cold servers.
+    is_first_owner: bool,
 }
 
-/// The registry of this entry and the ranges that it covers.
+/// The registry of this entry and the ranges that it owns.
 pub(crate) struct OwnedShards {
     context: Arc<EntryContext>,
     registry: Mutex<ServerRegistry>,
-    ranges: Mutex<BTreeMap<RangeIndex, OwnRange>>,
+    ranges: Mutex<BTreeMap<RangeIndex, OwnedRange>>,
 }
 
 impl OwnedShards {
@@ -35,10 +35,11 @@
         Self { context, registry, ranges: Mutex::default() }
     }
 
-    /// Takes new ranges over, with the servers that their former owners told of.
+    /// Applies the range assignment of a view and adopts the servers in the owned ranges from
+    /// `known`, the servers that previous owners published.
     ///
-    /// Servers in ranges that went to others stay in the registry until their announcements run out:
-    /// entries go by it until the new owner tells of them.
+    /// Servers in ranges that moved to other entries stay in the registry until their announcements
+    /// expire, because entries rely on it until the new owner has published these servers.
     pub(crate) fn view_changed(
         &self,
         view: &ClusterView,
@@ -47,18 +48,18 @@
         let (name, now) = (self.context.name(), Instant::now());
         {
             let mut ranges = self.ranges.lock();
-            let own = |(range, lease): (RangeIndex, &RangeLease)| {
-                let gained = OwnRange { acquired: now, is_first: lease.is_first };
-                (range, ranges.get(&range).copied().unwrap_or(gained))
+            let owned = |(range, lease): (RangeIndex, &RangeLease)| {
+                let acquired = OwnedRange { acquired: now, is_first_owner: lease.is_first };
+                (range, ranges.get(&range).copied().unwrap_or(acquired))
             };
-            let current = view.ranges_of(&name).map(own).collect();
+            let current = view.ranges_of(&name).map(owned).collect();
             *ranges = current;
         }
         self.adopt(known.values().copied());
     }
 
-    /// Takes servers over that lie in this entry's ranges and that its registry does not have. Returns
-    /// whether there are any.
+    /// Adds the servers that are in this entry's ranges and missing from its registry. Returns
+    /// whether the registry changed.
     pub(crate) fn adopt<'a>(&self, records: impl Iterator<Item = &'a ServerRecord>) -> bool {
         let ranges = self.ranges.lock();
         let mut registry = self.registry.lock();
@@ -71,7 +72,8 @@
         registry.version() != before
     }
 
-    /// Takes an announcement in.
+    /// Registers an announcement. A server that was warm in `known`, under the same incarnation,
+    /// stays warm.
     pub(crate) fn announce(
         &self,
         announcement: &Announcement,
@@ -84,17 +86,17 @@
         self.registry.lock().announce(announcement, known_stage, Instant::now())
     }
 
-    /// Marks a server as warm. Returns whether that is news.
+    /// Marks a server as warm. Returns whether the registry changed.
     pub(crate) fn mark_warm(&self, server: &ServerName, incarnation: ServerIncarnation) -> bool {
         self.registry.lock().mark_warm(server, incarnation)
     }
 
-    /// Takes a suspicion in. Returns whether it changed anything.
+    /// Applies a report of a suspected server. Returns whether the registry changed.
     pub(crate) fn suspect(&self, report: &SuspectReport) -> bool {
         self.registry.lock().suspect(report)
     }
 
-    /// Removes the servers whose announcements have run out, and returns those in own ranges.
+    /// Removes the servers whose announcements have expired. Returns those in the owned ranges.
     pub(crate) fn expire(&self) -> Vec<ServerName> {
         let mut expired = self.registry.lock().expire(Instant::now());
         let ranges = self.ranges.lock();
@@ -102,36 +104,38 @@
         expired
     }
 
-    pub(crate) fn beat(&self) -> OwnerBeat {
+    /// Returns the heartbeat that tells other entries the version of this registry.
+    pub(crate) fn heartbeat(&self) -> OwnerBeat {
         let registry = self.registry.lock();
         OwnerBeat { owner: registry.owner().clone(), version: registry.version() }
     }
 
+    /// Returns the changes of this registry that a request asks for.
     pub(crate) fn delta(&self, request: &RegistryRequest) -> RegistryDelta {
         self.registry.lock().delta(request)
     }
 
-    /// Says whether this entry may give a cold server work: a former owner may still have
-    /// requests of its own running there until its view and their deadlines have run out.
+    /// Returns whether this entry may send requests to a cold server. Requests of a previous owner
+    /// may still run there until that owner's view and the requests' deadlines have expired.
     pub(crate) fn may_warm(&self, server: &ServerName, timeout: Duration) -> bool {
         let ranges = self.ranges.lock();
         ranges.get(&server_range(server)).is_some_and(|range| {
-            range.is_first || range.acquired.elapsed() >= FRESHNESS_LIMIT + timeout
+            range.is_first_owner || range.acquired.elapsed() >= FRESHNESS_LIMIT + timeout
         })
     }
 
-    /// Returns the warm servers in own ranges.
-    pub(crate) fn own_warm_servers(&self) -> Vec<ServerRecord> {
+    /// Returns the warm servers in the owned ranges.
+    pub(crate) fn owned_warm_servers(&self) -> Vec<ServerRecord> {
         let ranges = self.ranges.lock();
         let registry = self.registry.lock();
-        let is_own = |record: &&ServerRecord| {
+        let is_owned_warm = |record: &&ServerRecord| {
             record.stage == ServerStage::Warm
                 && ranges.contains_key(&server_range(&record.announcement.server))
         };
-        registry.records().filter(is_own).cloned().collect()
+        registry.records().filter(is_owned_warm).cloned().collect()
     }
 
-    /// Returns the services with cold servers in this registry.
+    /// Returns the services that have cold servers in this registry, sorted by name.
     pub(crate) fn cold_services(&self) -> Vec<ServiceName> {
         let registry = self.registry.lock();
         let mut services: Vec<ServiceName> = registry
--- a/crates/entry/src/prepared_call.rs
+++ b/crates/entry/src/prepared_call.rs
@@ -1,13 +1,13 @@
-//! A request in the form in which servers get it.
+//! Conversion of a caller's request to the HTTP form that servers receive.
 
-use crate::context::left_ms;
+use crate::context::remaining_ms;
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, uri::PathAndQuery};
 use server::ServerRequest;
 use std::time::Instant;
 use types::{CallRequest, header};
 
-/// A request in the form in which it is sent to servers.
+/// A validated request, ready to be sent to servers.
 #[derive(Debug, Clone)]
 pub(crate) struct PreparedCall {
     method: Method,
@@ -17,7 +17,7 @@
 }
 
 impl PreparedCall {
-    /// Checks and converts a caller's request. Fails with the name of the wrong field.
+    /// Validates and converts a caller's request. The error names the invalid field.
     pub(crate) fn new(call: &CallRequest) -> Result<Self, String> {
         let method = Method::from_bytes(call.method.as_bytes())
             .map_err(|error| format!("method: {error}"))?;
@@ -38,9 +38,10 @@
         Ok(Self { method, path, headers, body: Bytes::copy_from_slice(&call.body) })
     }
 
+    /// Returns the request for one attempt, with the time left until the deadline in its header.
     pub(crate) fn request(&self, deadline: Instant) -> ServerRequest {
         let mut headers = self.headers.clone();
-        insert(&mut headers, header::DEADLINE, &left_ms(deadline).to_string());
+        insert(&mut headers, header::DEADLINE, &remaining_ms(deadline).to_string());
         ServerRequest {
             method: self.method.clone(),
             path: self.path.clone(),
--- a/crates/entry/src/prober.rs
+++ b/crates/entry/src/prober.rs
@@ -1,8 +1,8 @@
-//! Probes of this entry's own servers, within the agreed budget of each.
+//! Probes of the servers that this entry owns, within each server's probe budget.
 //!
-//! Only a server's owner probes it, and only while its view is fresh, so the budget needs no
-//! coordination. Probes say just whether a server can be reached at all: load comes free on
-//! answers, and a server that has answered this entry lately is not probed.
+//! Only the owner probes a server, and only while its view is fresh, so entries need not coordinate
+//! the budget. A probe only tests whether a server is reachable: the answers to requests report the
+//! load, and a server that has answered this entry recently is not probed.
 
 use crate::{EntryContext, catalog::ServerCatalog};
 use http::{HeaderMap, Method, uri::PathAndQuery};
@@ -17,19 +17,21 @@
 };
 use types::{FRESHNESS_LIMIT, ServerName, ServerRecord, SuspectKind, SuspectReport};
 
-/// Path that is probed.
+/// Path that probes request.
 const PROBE_PATH: &str = "/probe";
-/// Period of looks at the budgets.
-const LOOK_PERIOD: Duration = Duration::from_millis(250);
+/// Period at which the budgets are checked.
+const CHECK_PERIOD: Duration = Duration::from_millis(250);
 /// Time allowed for a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// The probe budget of one server.
 struct ServerBudget {
+    /// Probes per minute.
     rate: u16,
     budget: ProbeBudget,
 }
 
-/// Probes the servers that this entry looks after.
+/// Probes the servers that this entry owns.
 pub(crate) struct ServerProber {
     context: Arc<EntryContext>,
     catalog: Arc<ServerCatalog>,
@@ -46,8 +48,9 @@
         Arc::new(Self { context, catalog, transport, budgets: Mutex::default() })
     }
 
+    /// Probes servers until the timer service ends.
     pub(crate) async fn run(self: Arc<Self>) {
-        let mut ticks = self.context.timer.subscribe(LOOK_PERIOD);
+        let mut ticks = self.context.timer.subscribe(CHECK_PERIOD);
         while ticks.tick().await.is_some() {
             if !self.context.is_open() {
                 continue;
@@ -59,50 +62,53 @@
         }
     }
 
-    /// Returns the servers to probe now, and counts the probes against their budgets.
+    /// Returns the servers to probe now, and deducts the probes from their budgets.
     fn take_due(&self, now: Instant) -> Vec<ServerRecord> {
         let view = self.context.view();
-        let records = self.catalog.own_warm_servers();
+        let records = self.catalog.owned_warm_servers();
         let mut budgets = self.budgets.lock();
-        let mut kept = BTreeMap::new();
+        let mut retained = BTreeMap::new();
         let mut due = Vec::new();
         for record in records {
             let announcement = &record.announcement;
             let spec = view.service(&announcement.service);
             let rate = spec.map_or(0, |spec| spec.probes_per_minute);
-            let former = budgets.remove(&announcement.server).filter(|known| known.rate == rate);
-            // A former owner may go on until its view runs out.
-            let mut known = former.unwrap_or_else(|| ServerBudget {
+            let previous =
+                budgets.remove(&announcement.server).filter(|budget| budget.rate == rate);
+            // The previous owner may continue to probe until its view expires.
+            let mut budget = previous.unwrap_or_else(|| ServerBudget {
                 rate,
                 budget: ProbeBudget::new(rate, now + FRESHNESS_LIMIT),
             });
-            if !self.catalog.has_answered_lately(&record, now) && known.budget.take(now) {
+            if !self.catalog.has_answered_recently(&record, now) && budget.budget.take(now) {
                 due.push(record.clone());
             }
-            kept.insert(announcement.server.clone(), known);
+            retained.insert(announcement.server.clone(), budget);
         }
-        *budgets = kept;
+        *budgets = retained;
         due
     }
 
+    /// Probes a server, and reports it as suspected if it is not reachable.
     async fn probe(&self, record: &ServerRecord) {
         let announcement = &record.announcement;
         let counters = &self.context.counters.servers;
         counters.count("probed");
-        if self.is_reached(record).await {
+        if self.is_reachable(record).await {
             return;
         }
         counters.count("probe-failed");
         let detail = "probe failed".to_owned();
         self.context.record_server(EventKind::ServerSuspected, &announcement.server, detail);
-        self.catalog.take_suspicion(&SuspectReport {
+        self.catalog.apply_suspicion(&SuspectReport {
             server: announcement.server.clone(),
             incarnation: announcement.incarnation,
             kind: SuspectKind::Unreachable,
         });
     }
 
-    async fn is_reached(&self, record: &ServerRecord) -> bool {
+    /// Returns whether a server accepts a connection and answers a probe in time.
+    async fn is_reachable(&self, record: &ServerRecord) -> bool {
         let deadline = Instant::now() + PROBE_TIMEOUT;
         let address = record.announcement.address;
         let Ok(connection) = self.transport.connect(address, deadline).await else {
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -1,4 +1,5 @@
-//! The pool of a service: its servers, the requests that wait for one, and its budgets.
+//! The pool of a service: its servers, the queue of requests that wait for a server, and its retry
+//! and hedge budgets.
 
 use crate::EntryContext;
 use parking_lot::Mutex;
@@ -19,42 +20,45 @@
 use tokio::{sync::oneshot, time::timeout_at};
 use types::{EntryName, ServerIncarnation, ServerName, ServiceName, ServiceSpec, SuspectKind};
 
-/// Number of independently locked parts of the table of pools.
+/// Number of independently locked shards of the pool table.
 const SHARD_COUNT: usize = 16;
-/// Least time between two requests by which an entry warms a service's cold servers.
+/// Minimum time between two requests that an entry sends to cold servers of a service to warm them
+/// up.
 const WARM_UP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Answers after which the latency of a pool counts as known.
-const LATENCY_SAMPLES: u64 = 100;
-/// A try that is given up after this multiple of the 95th percentile counts against its server.
+/// Number of answers from which the latency estimates of a pool are used.
+const MIN_LATENCY_SAMPLES: u64 = 100;
+/// A dropped attempt counts as late for its server if it took longer than this multiple of the 95th
+/// percentile of latency.
 const LATE_FACTOR: u32 = 4;
-/// But no earlier than this.
-const LATE_MINIMUM: Duration = Duration::from_millis(50);
-/// A request is refused at once if it is expected to wait longer than this part of its time.
+/// A dropped attempt that took less time than this never counts as late.
+const MIN_LATE_LIMIT: Duration = Duration::from_millis(50);
+/// A request is refused at once if its expected wait exceeds its remaining time divided by this.
 const EXPECTED_WAIT_DIVISOR: u32 = 4;
-/// A request that has waited this part of its time is refused.
+/// A request is refused after it has waited for its remaining time divided by this.
 const WAIT_DIVISOR: u32 = 2;
 
-/// Says why no server could be had.
+/// The reason why no server was acquired.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum AcquireError {
-    /// No server may be given work here; these owners have cold ones.
+    /// This entry may not use any server; these owners have cold servers.
     NoneEligible(SmallVec<[EntryName; 2]>),
-    /// The wait would be, or was, too long. Holds the wait to expect.
+    /// The expected or actual wait was too long. Contains the expected wait.
     TooBusy(Duration),
 }
 
-/// Told what the end of a request showed about a server.
+/// Receives the conclusions about a server that a pool draws from the result of an attempt.
 pub(crate) trait ServerObserver: Send + Sync {
-    /// The cold server has proved itself.
+    /// The cold server is now warm.
     fn server_warmed(&self, server: &ServerName, incarnation: ServerIncarnation);
-    /// The server is suspected.
+    /// The server is suspected to have failed, restarted or started to leave.
     fn server_suspected(&self, server: &PickedServer, kind: SuspectKind);
-    /// Says whether a shard owner's word still holds.
+    /// Returns whether a shard owner's registry was confirmed recently enough to be used.
     fn is_confirmed(&self, owner: &EntryName) -> bool;
 }
 
-struct Waiter {
+/// A queued request.
+struct WaitingRequest {
     excluded: SmallVec<[ServerName; 2]>,
     prefers_cold: bool,
     sender: oneshot::Sender<ServerPermit>,
@@ -62,7 +66,7 @@
 
 struct PoolState {
     load: ServiceLoad,
-    waiting: VecDeque<Waiter>,
+    waiting: VecDeque<WaitingRequest>,
     retries: RetryBudget,
     hedges: RetryBudget,
     latency: LatencyTracker,
@@ -70,50 +74,52 @@
     last_own_warm_up: Option<Instant>,
 }
 
-/// All that an entry holds of one service.
+/// An entry's servers, queue and budgets for one service.
 pub(crate) struct ServicePool {
     context: Arc<EntryContext>,
     observer: Weak<dyn ServerObserver>,
     state: Mutex<PoolState>,
-    held: AtomicUsize,
+    /// Admitted requests without an answer, including those that wait for a server.
+    in_flight: AtomicUsize,
 }
 
-/// The right to send one request to a server. Ends when it is finished or dropped.
+/// A permit to send one request to a server. It is released when it is finished or dropped.
 pub(crate) struct ServerPermit {
     pool: Arc<ServicePool>,
     pub(crate) server: PickedServer,
-    taken: Instant,
+    acquired: Instant,
     is_finished: bool,
 }
 
 impl ServerPermit {
-    /// Notes how the request ended.
-    pub(crate) fn finish(mut self, outcome: AttemptOutcome, stated: &StatedLoad) {
+    /// Releases the permit with the outcome of the attempt and the load that the server reported.
+    pub(crate) fn finish(mut self, outcome: AttemptOutcome, load: &StatedLoad) {
         self.is_finished = true;
-        self.pool.clone().release(&self.server, outcome, stated);
+        self.pool.clone().release(&self.server, outcome, load);
     }
 }
 
 impl Drop for ServerPermit {
     fn drop(&mut self) {
         if !self.is_finished {
-            // A try that is given up says something of its server only if it took very long.
-            let is_late = self.pool.late_limit().is_some_and(|limit| self.taken.elapsed() > limit);
+            // A dropped attempt counts against its server only if it took very long.
+            let is_late =
+                self.pool.late_limit().is_some_and(|limit| self.acquired.elapsed() > limit);
             let outcome = if is_late { AttemptOutcome::Late } else { AttemptOutcome::Cancelled };
             self.pool.clone().release(&self.server, outcome, &StatedLoad::default());
         }
     }
 }
 
-/// Counts a request as held by its pool while it lives.
-pub(crate) struct HeldRequest {
+/// Counts a request as in flight until it is dropped.
+pub(crate) struct InFlightGuard {
     pool: Arc<ServicePool>,
     total: Arc<AtomicUsize>,
 }
 
-impl Drop for HeldRequest {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.pool.held.fetch_sub(1, Ordering::Relaxed);
+        self.pool.in_flight.fetch_sub(1, Ordering::Relaxed);
         self.total.fetch_sub(1, Ordering::Relaxed);
     }
 }
@@ -133,23 +139,24 @@
             last_warm_up: None,
             last_own_warm_up: None,
         };
-        Self { context, observer, state: Mutex::new(state), held: AtomicUsize::new(0) }
+        Self { context, observer, state: Mutex::new(state), in_flight: AtomicUsize::new(0) }
     }
 
-    /// Counts one more request as held.
-    pub(crate) fn hold(self: &Arc<Self>, total: &Arc<AtomicUsize>) -> HeldRequest {
-        self.held.fetch_add(1, Ordering::Relaxed);
+    /// Counts one more request as in flight, in this pool and in `total`.
+    pub(crate) fn track_in_flight(self: &Arc<Self>, total: &Arc<AtomicUsize>) -> InFlightGuard {
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
         total.fetch_add(1, Ordering::Relaxed);
-        HeldRequest { pool: self.clone(), total: total.clone() }
+        InFlightGuard { pool: self.clone(), total: total.clone() }
     }
 
-    /// Returns the number of requests held.
-    pub(crate) fn held(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+    /// Returns the number of requests in flight, including those that wait for a server.
+    pub(crate) fn in_flight(&self) -> usize {
+        self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Takes the service's specification over and counts a first try against its budgets.
-    pub(crate) fn note_request(&self, spec: &ServiceSpec) {
+    /// Applies the service's specification and counts a request towards the retry and hedge
+    /// budgets.
+    pub(crate) fn record_request(&self, spec: &ServiceSpec) {
         let mut state = self.state.lock();
         state.load.set_cold_concurrency(spec.cold_concurrency);
         state.retries.set_percent(spec.retry_percent);
@@ -158,31 +165,32 @@
         state.hedges.note_request();
     }
 
-    /// Takes one retry from the budget.
+    /// Takes one retry from the budget. Returns whether there was one.
     pub(crate) fn take_retry(&self) -> bool {
         self.state.lock().retries.take()
     }
 
-    /// Takes one hedge from the budget.
+    /// Takes one hedge from the budget. Returns whether there was one.
     pub(crate) fn take_hedge(&self) -> bool {
         self.state.lock().hedges.take()
     }
 
-    /// Returns the latency after which a request counts as late enough for a hedge.
+    /// Returns the 95th percentile of latency, after which a request may be hedged, or `None` until
+    /// enough answers have been received.
     pub(crate) fn hedge_delay(&self) -> Option<Duration> {
         let latency = self.state.lock().latency;
-        (latency.samples() >= LATENCY_SAMPLES).then(|| latency.quantile())
+        (latency.samples() >= MIN_LATENCY_SAMPLES).then(|| latency.quantile())
     }
 
-    /// Returns the time after which a try without an answer counts against its server, once enough
-    /// answers have been seen.
+    /// Returns the time after which an attempt without an answer counts as late, or `None` until
+    /// enough answers have been received.
     fn late_limit(&self) -> Option<Duration> {
         let latency = self.state.lock().latency;
-        let is_known = latency.samples() >= LATENCY_SAMPLES;
-        is_known.then(|| (latency.quantile() * LATE_FACTOR).max(LATE_MINIMUM))
+        let is_known = latency.samples() >= MIN_LATENCY_SAMPLES;
+        is_known.then(|| (latency.quantile() * LATE_FACTOR).max(MIN_LATE_LIMIT))
     }
 
-    /// Takes the directory's account over and gives waiting requests what became free.
+    /// Updates the servers from the directory and assigns free capacity to waiting requests.
     pub(crate) fn update(self: &Arc<Self>, views: Vec<ServerView>, spec: Option<&ServiceSpec>) {
         {
             let mut state = self.state.lock();
@@ -195,8 +203,8 @@
         self.serve_waiting();
     }
 
-    /// Returns the owner to hand a request over to so that its cold servers get work, if it is
-    /// time to.
+    /// Returns a shard owner to which the next request should be forwarded to warm up its cold
+    /// servers, or `None` if no warm-up is due.
     pub(crate) fn take_warm_up(&self) -> Option<EntryName> {
         let observer = self.observer.upgrade()?;
         let now = Instant::now();
@@ -216,8 +224,8 @@
         owners.into_iter().nth(chosen)
     }
 
-    /// Says whether it is time to give one of this owner's own cold servers a request. The choice
-    /// by latency alone would leave them cold where few requests come.
+    /// Returns whether the next request should go to a cold server that this entry owns. Selection
+    /// by latency alone would leave such servers cold when there are few requests.
     pub(crate) fn take_own_warm_up(&self) -> bool {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -229,13 +237,14 @@
         true
     }
 
-    /// Says whether a server has answered a request of this entry lately.
-    pub(crate) fn has_answered_lately(&self, server: &ServerName, now: Instant) -> bool {
+    /// Returns whether a server has answered a request of this entry recently.
+    pub(crate) fn has_answered_recently(&self, server: &ServerName, now: Instant) -> bool {
         self.state.lock().load.has_answered_lately(server, now)
     }
 
-    /// Returns the owners that may give cold servers work, if this entry may give none any.
-    pub(crate) fn owners_instead(&self) -> Option<SmallVec<[EntryName; 2]>> {
+    /// Returns the owners of cold servers if this entry may not use any server, and `None`
+    /// otherwise.
+    pub(crate) fn owners_if_ineligible(&self) -> Option<SmallVec<[EntryName; 2]>> {
         let observer = self.observer.upgrade()?;
         let is_confirmed = |owner: &EntryName| observer.is_confirmed(owner);
         let state = self.state.lock();
@@ -245,14 +254,15 @@
         Some(state.load.cold_owners(is_confirmed))
     }
 
-    /// Waits for a server, first come first served.
+    /// Waits for a server with free capacity, in first-in, first-out order. Prefers a cold server
+    /// if `prefers_cold` is set.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         excluded: &[ServerName],
         prefers_cold: bool,
         deadline: Instant,
     ) -> Result<ServerPermit, AcquireError> {
-        let give_up;
+        let wait_until;
         let receiver = {
             let mut state = self.state.lock();
             if state.waiting.is_empty() {
@@ -267,24 +277,28 @@
             let now = Instant::now();
             let capacity = state.load.capacity(now);
             let wait = expected_wait(state.waiting.len(), capacity, state.latency.mean());
-            // A long wait leaves no time for the answer, and makes all who come later wait as long.
+            // A long wait leaves no time for the answer, and delays all later requests by as much.
             let left = deadline.saturating_duration_since(now);
             if wait > left / EXPECTED_WAIT_DIVISOR {
                 return Err(AcquireError::TooBusy(wait));
             }
-            give_up = now + left / WAIT_DIVISOR;
+            wait_until = now + left / WAIT_DIVISOR;
             let (sender, receiver) = oneshot::channel();
-            state.waiting.push_back(Waiter { excluded: excluded.into(), prefers_cold, sender });
+            state.waiting.push_back(WaitingRequest {
+                excluded: excluded.into(),
+                prefers_cold,
+                sender,
+            });
             receiver
         };
-        match timeout_at(give_up.into(), receiver).await {
+        match timeout_at(wait_until.into(), receiver).await {
             Ok(Ok(permit)) => Ok(permit),
             Ok(Err(_)) => Err(AcquireError::NoneEligible(SmallVec::new())),
             Err(_) => Err(AcquireError::TooBusy(self.state.lock().latency.mean())),
         }
     }
 
-    /// Takes a server if one has room now.
+    /// Acquires a server without waiting, if one has free capacity and no request is queued.
     pub(crate) fn try_acquire(self: &Arc<Self>, excluded: &[ServerName]) -> Option<ServerPermit> {
         let mut state = self.state.lock();
         if !state.waiting.is_empty() {
@@ -297,7 +311,7 @@
     }
 
     fn permit(self: &Arc<Self>, server: PickedServer) -> ServerPermit {
-        ServerPermit { pool: self.clone(), server, taken: Instant::now(), is_finished: false }
+        ServerPermit { pool: self.clone(), server, acquired: Instant::now(), is_finished: false }
     }
 
     fn pick(
@@ -314,23 +328,20 @@
         self.context.with_rng(|rng| state.load.pick(excluded, prefers_cold, is_confirmed, now, rng))
     }
 
-    fn release(
-        self: Arc<Self>,
-        server: &PickedServer,
-        outcome: AttemptOutcome,
-        stated: &StatedLoad,
-    ) {
+    /// Records the end of an attempt and assigns the free capacity to waiting requests.
+    fn release(self: Arc<Self>, server: &PickedServer, outcome: AttemptOutcome, load: &StatedLoad) {
         let notes = {
             let mut state = self.state.lock();
             if let AttemptOutcome::Success(latency) = outcome {
                 state.latency.note(latency);
             }
-            state.load.release(server, outcome, stated, Instant::now())
+            state.load.release(server, outcome, load, Instant::now())
         };
         self.report(server, &notes);
         self.serve_waiting();
     }
 
+    /// Reports the conclusions from an attempt to the observer and the event timeline.
     fn report(&self, server: &PickedServer, notes: &ReleaseNotes) {
         let Some(observer) = self.observer.upgrade() else {
             return;
@@ -350,11 +361,11 @@
         }
     }
 
-    /// Gives free servers to waiting requests, in order. A permit whose request has gone away is
-    /// passed to the next.
+    /// Assigns servers with free capacity to waiting requests in order. The permit of a request
+    /// that has been cancelled goes to the next one.
     fn serve_waiting(self: &Arc<Self>) {
         loop {
-            let (waiter, server) = {
+            let (request, server) = {
                 let mut state = self.state.lock();
                 let Some(first) = state.waiting.pop_front() else {
                     return;
@@ -368,30 +379,30 @@
                         state.waiting.push_front(first);
                         return;
                     }
-                    // Dropping the sender tells the request that there is no server.
+                    // Dropping the sender makes `acquire` return `NoneEligible`.
                     PickResult::NoneEligible { .. } => continue,
                 }
             };
             let permit = self.permit(server);
-            if let Err(mut unused) = waiter.sender.send(permit) {
+            if let Err(mut unused) = request.sender.send(permit) {
                 unused.is_finished = true;
                 let mut state = self.state.lock();
-                let stated = StatedLoad::default();
+                let load = StatedLoad::default();
                 let now = Instant::now();
-                state.load.release(&unused.server, AttemptOutcome::Cancelled, &stated, now);
+                state.load.release(&unused.server, AttemptOutcome::Cancelled, &load, now);
             }
         }
     }
 }
 
-/// The pools of all services, in shards under their own locks.
+/// The pools of all services, in independently locked shards.
 pub(crate) struct PoolTable {
     context: Arc<EntryContext>,
     observer: Weak<dyn ServerObserver>,
     settings: LoadSettings,
     shards: [Mutex<HashMap<ServiceName, Arc<ServicePool>>>; SHARD_COUNT],
-    /// Requests held over all pools.
-    pub(crate) held: Arc<AtomicUsize>,
+    /// Requests in flight over all pools.
+    pub(crate) in_flight: Arc<AtomicUsize>,
 }
 
 impl PoolTable {
@@ -401,10 +412,10 @@
         settings: LoadSettings,
     ) -> Self {
         let shards = Default::default();
-        Self { context, observer, settings, shards, held: Arc::default() }
+        Self { context, observer, settings, shards, in_flight: Arc::default() }
     }
 
-    /// Returns the pool of a service.
+    /// Returns the pool of a service, and creates it if there is none.
     pub(crate) fn pool(&self, service: &ServiceName) -> Arc<ServicePool> {
         let shard = service.as_str().bytes().fold(0_usize, |sum, byte| sum + usize::from(byte));
         let mut pools = self.shards[shard % SHARD_COUNT].lock();
@@ -427,23 +438,26 @@
     }
 }
 
-/// When a shard owner was last heard of, shared between the directory and all pools.
+/// The time of the last confirmation of a shard owner, shared by the catalog and all pools.
 #[derive(Debug)]
-pub(crate) struct BeatClock {
+pub(crate) struct HeartbeatClock {
     origin: Instant,
+    /// Microseconds from `origin` to the last confirmation.
     confirmed_us: AtomicU64,
 }
 
-impl BeatClock {
+impl HeartbeatClock {
     pub(crate) fn new(origin: Instant) -> Self {
         Self { origin, confirmed_us: AtomicU64::new(0) }
     }
 
+    /// Records a confirmation. One that is older than the last has no effect.
     pub(crate) fn confirm(&self, at: Instant) {
-        let since = at.saturating_duration_since(self.origin).as_micros() as u64;
-        self.confirmed_us.fetch_max(since, Ordering::AcqRel);
+        let confirmed = at.saturating_duration_since(self.origin).as_micros() as u64;
+        self.confirmed_us.fetch_max(confirmed, Ordering::AcqRel);
     }
 
+    /// Returns whether less than `limit` has passed since the last confirmation.
     pub(crate) fn is_within(&self, limit: Duration, now: Instant) -> bool {
         let confirmed = Duration::from_micros(self.confirmed_us.load(Ordering::Acquire));
         now.saturating_duration_since(self.origin) < confirmed + limit
--- a/crates/entry/src/view_store.rs
+++ b/crates/entry/src/view_store.rs
@@ -1,23 +1,23 @@
-//! The view of this entry, as the keeper of its freshness sees it.
+//! Connects this entry's view to the task that keeps it fresh.
 
 use crate::{EntryContext, catalog::ServerCatalog};
 use follow::ViewHolder;
 use std::{sync::Arc, time::Instant};
 use types::{ClusterView, EntryInfo};
 
-/// Passes views on to all parts that act on them.
-pub(crate) struct EntryViewHolder {
+/// Installs new views in the entry's context and its server catalog.
+pub(crate) struct EntryViewStore {
     context: Arc<EntryContext>,
     catalog: Arc<ServerCatalog>,
 }
 
-impl EntryViewHolder {
+impl EntryViewStore {
     pub(crate) fn new(context: Arc<EntryContext>, catalog: Arc<ServerCatalog>) -> Self {
         Self { context, catalog }
     }
 }
 
-impl ViewHolder for EntryViewHolder {
+impl ViewHolder for EntryViewStore {
     fn info(&self) -> EntryInfo {
         self.context.info.read().clone()
     }
@@ -28,7 +28,7 @@
 
     fn install(&self, view: Arc<ClusterView>) {
         self.context.set_view(view.clone());
-        // Pools must know of drains before the gate is confirmed for this view.
+        // The pools must apply drains before the gate is confirmed for this view.
         self.catalog.view_changed(&view);
     }
 
