--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -2,7 +2,7 @@
 
 use crate::membership::{MemberHealth, plan_member_change};
 use consensus::{Member, MemberRole, MembershipChange, ReplicaId};
-use follow::{LeaderFinder, SubmitResult};
+use follow::{LeaderClient, SubmitResult};
 use replica::{ReplicaHandle, ReplicaStatus};
 use runtime::{Logger, TimerService};
 use slog::{info, warn};
@@ -39,7 +39,7 @@
 pub struct GroupKeeper {
     settings: GroupSettings,
     replica: ReplicaHandle,
-    leader: Arc<LeaderFinder>,
+    leader: Arc<LeaderClient>,
     logger: Logger,
     /// When each member was last active; kept while this replica leads.
     active: BTreeMap<ReplicaId, Instant>,
@@ -60,7 +60,7 @@
     pub fn new(
         settings: GroupSettings,
         replica: ReplicaHandle,
-        leader: Arc<LeaderFinder>,
+        leader: Arc<LeaderClient>,
         logger: Logger,
     ) -> Self {
         Self { settings, replica, leader, logger, active: BTreeMap::new(), reported: None }
--- a/crates/control/src/plane.rs
+++ b/crates/control/src/plane.rs
@@ -2,7 +2,7 @@
 
 use crate::{ControlError, EntryDirectory, directory_entries, sightings::SightingBatch};
 use async_trait::async_trait;
-use follow::{LeaderFinder, SubmitResult};
+use follow::{LeaderClient, SubmitResult};
 use peer::{PeerLink, SubmitAnswer};
 use replica::ReplicaHandle;
 use runtime::{DecisionCounters, Logger, TimerService};
@@ -55,7 +55,7 @@
 /// The control plane of a replica: decides through the leader, wherever that is.
 pub struct ReplicaControl {
     replica: ReplicaHandle,
-    leader: Arc<LeaderFinder>,
+    leader: Arc<LeaderClient>,
     sightings: Arc<SightingBatch>,
     domains: BTreeSet<DomainName>,
     counters: DecisionCounters,
@@ -67,7 +67,7 @@
     /// its reports to the leader.
     pub fn start(
         replica: ReplicaHandle,
-        leader: Arc<LeaderFinder>,
+        leader: Arc<LeaderClient>,
         link: Arc<dyn PeerLink>,
         domains: BTreeSet<DomainName>,
         timer: TimerService,
--- a/crates/control/src/sightings.rs
+++ b/crates/control/src/sightings.rs
@@ -1,6 +1,6 @@
 //! Collects which servers announced themselves here, and reports them to the leader.
 
-use follow::LeaderFinder;
+use follow::LeaderClient;
 use parking_lot::Mutex;
 use peer::{PeerLink, PeerRequest};
 use runtime::TimerService;
@@ -26,7 +26,7 @@
     /// is kept for the next period.
     pub(crate) async fn run(
         self: Arc<Self>,
-        leader: Arc<LeaderFinder>,
+        leader: Arc<LeaderClient>,
         link: Arc<dyn PeerLink>,
         timer: TimerService,
     ) {
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -1,7 +1,7 @@
 //! The set of replicas forms itself from seeds over real links and disks, and repairs itself.
 
 use consensus::{CoreSettings, MemberRole, ReplicaId};
-use follow::LeaderFinder;
+use follow::LeaderClient;
 use hawthornhill_control::{GroupKeeper, GroupSettings, seed_identity};
 use peer::{PeerAnswer, PeerHandler, PeerLink, PeerRequest, PeerTarget, StreamNode};
 use replica::{
@@ -47,7 +47,7 @@
         let link: Arc<dyn PeerLink> = Arc::new(node.clone());
         let target = |address: &SocketAddr| PeerTarget { host: host.clone(), address: *address };
         let targets = seeds.iter().map(target).collect();
-        let leader = Arc::new(LeaderFinder::new(link.clone(), targets));
+        let leader = Arc::new(LeaderClient::new(link.clone(), targets));
         let identity = if is_first { seed_identity(address) } else { ReplicaId(rand::random()) };
         let (store, restored) = FileStore::open(folder, identity).expect("a usable folder");
         let logger = root_logger(LogFormat::Json, host.as_str());
--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -3,7 +3,7 @@
 use crate::handler::RoleHandler;
 use async_trait::async_trait;
 use consensus::{Member, MembershipChange};
-use follow::{LeaderFinder, SubmitResult};
+use follow::{LeaderClient, SubmitResult};
 use operator::{BackendError, EntryPage, OperatorBackend, ServerRow, StatusPage, ViewPage};
 use peer::PeerNode;
 use policy::ServerView;
@@ -28,7 +28,7 @@
     pub(crate) peer_address: SocketAddr,
     pub(crate) roles: Arc<RoleHandler>,
     pub(crate) node: Arc<PeerNode>,
-    pub(crate) leader: LeaderFinder,
+    pub(crate) leader: LeaderClient,
     pub(crate) timeline: EventTimeline,
 }
 
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -5,7 +5,7 @@
 use caller::IntakeSettings;
 use consensus::{CoreSettings, ReplicaId};
 use entry::{EntryContext, EntryNode, EntrySettings};
-use follow::LeaderFinder;
+use follow::LeaderClient;
 use operator::serve_operators;
 use peer::{PeerLink, PeerNode, PeerTarget, TlsMaterial};
 use policy::{AdmissionSettings, LatencySelector, LoadSettings};
@@ -175,7 +175,7 @@
             peer_address: self.settings.peer_address,
             roles: self.roles.clone(),
             node: self.node.clone(),
-            leader: LeaderFinder::new(self.link(), self.replicas()),
+            leader: LeaderClient::new(self.link(), self.replicas()),
             timeline: self.timeline.clone(),
         };
         let counters = self.metrics.decisions("operators", "Requests of operators");
--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -6,7 +6,7 @@
 use control::{
     EntryDirectory, GroupKeeper, GroupSettings, ReplicaControl, directory_entries, seed_identity,
 };
-use follow::LeaderFinder;
+use follow::LeaderClient;
 use gateway::{GatewayNode, GatewaySettings, GatewayTools};
 use peer::{PeerLink, PeerTarget, StreamNode};
 use platform::{
@@ -62,7 +62,7 @@
     logger: Logger,
     timer: TimerService,
     node: Arc<StreamNode>,
-    leader: Arc<LeaderFinder>,
+    leader: Arc<LeaderClient>,
     roles: Arc<RoleHandler>,
 }
 
@@ -134,7 +134,7 @@
         let links = metrics.decisions("links", "Links between processes");
         let node = StreamNode::new(settings.host.clone(), timeline.clone(), links);
         let link: Arc<dyn PeerLink> = Arc::new(node.clone());
-        let leader = Arc::new(LeaderFinder::new(link, peer_targets(&settings.seeds)));
+        let leader = Arc::new(LeaderClient::new(link, peer_targets(&settings.seeds)));
         warn!(logger, "links between processes are plain TCP: no keys are set up here");
         let (timer, roles) = (TimerService::start(), Arc::default());
         Self { file, settings, metrics, timeline, logger, timer, node, leader, roles }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,7 +1,7 @@
 //! Claims of requests that are not idempotent.
 
 use async_trait::async_trait;
-use follow::{LeaderFinder, SubmitResult};
+use follow::{LeaderClient, SubmitResult};
 use std::{
     sync::Arc,
     time::{Duration, Instant},
@@ -46,12 +46,12 @@
 
 /// Stores claims in the replicated log.
 pub struct ReplicatedLedger {
-    leader: Arc<LeaderFinder>,
+    leader: Arc<LeaderClient>,
 }
 
 impl ReplicatedLedger {
     /// Returns a ledger that submits commands to this leader.
-    pub fn new(leader: Arc<LeaderFinder>) -> Self {
+    pub fn new(leader: Arc<LeaderClient>) -> Self {
         Self { leader }
     }
 
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -5,7 +5,7 @@
     view_store::EntryViewStore,
 };
 use caller::{CallerListener, IntakeError, IntakeSettings};
-use follow::{FreshnessKeeper, KeeperTools, LeaderFinder};
+use follow::{FreshnessKeeper, KeeperTools, LeaderClient};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
 use policy::{AdmissionGate, AdmissionSettings, LoadSettings, ServerView};
 use runtime::{EventKind, EventTags};
@@ -68,7 +68,7 @@
         settings: EntrySettings,
     ) -> Result<Arc<Self>, EntryError> {
         let link = settings.link;
-        let leader = Arc::new(LeaderFinder::new(link.clone(), settings.replicas));
+        let leader = Arc::new(LeaderClient::new(link.clone(), settings.replicas));
         let catalog = ServerCatalog::new(context.clone(), link.clone(), settings.load);
         let ledger = Arc::new(ReplicatedLedger::new(leader.clone()));
         let prober =
--- a/crates/follow/src/keeper.rs
+++ b/crates/follow/src/keeper.rs
@@ -5,7 +5,7 @@
 //! arrived.
 
 use crate::{
-    LeaderFinder, ReplicaSelector,
+    LeaderClient, ReplicaSelector,
     grants::{freshness_source, into_grant},
 };
 use futures_util::future::{Either, select};
@@ -71,7 +71,7 @@
 /// Renews the freshness of the view until the process ends.
 pub struct FreshnessKeeper {
     holder: Arc<dyn ViewHolder>,
-    leader: Arc<LeaderFinder>,
+    leader: Arc<LeaderClient>,
     tools: KeeperTools,
     selector: ReplicaSelector,
     /// Random number in `0.0..1.0`, fixed so that the choice among equally near replicas is stable.
@@ -83,7 +83,7 @@
 
 impl FreshnessKeeper {
     /// Returns a task that keeps the store's view fresh.
-    pub fn new(holder: Arc<dyn ViewHolder>, leader: Arc<LeaderFinder>, tools: KeeperTools) -> Self {
+    pub fn new(holder: Arc<dyn ViewHolder>, leader: Arc<LeaderClient>, tools: KeeperTools) -> Self {
         let selector = ReplicaSelector::new(holder.info().domain);
         Self {
             holder,
--- a/crates/follow/src/leader.rs
+++ b/crates/follow/src/leader.rs
@@ -67,12 +67,12 @@
 }
 
 /// Sends requests to the current leader of the replicas.
-pub struct LeaderFinder {
+pub struct LeaderClient {
     link: Arc<dyn PeerLink>,
     targets: Mutex<ReplicaTargets>,
 }
 
-impl LeaderFinder {
+impl LeaderClient {
     /// Returns a client that knows the replicas of the settings only.
     pub fn new(link: Arc<dyn PeerLink>, known: Vec<PeerTarget>) -> Self {
         let targets = ReplicaTargets { seeds: known.clone(), known, leader: None };
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -7,5 +7,5 @@
 
 pub use grants::AnswerSource;
 pub use keeper::{FreshnessKeeper, KeeperTools, ViewHolder};
-pub use leader::{LeaderFinder, SubmitResult};
+pub use leader::{LeaderClient, SubmitResult};
 pub use near::ReplicaSelector;
--- a/crates/follow/tests/keeper.rs
+++ b/crates/follow/tests/keeper.rs
@@ -2,7 +2,7 @@
 //! the follower does not answer in time.
 
 use async_trait::async_trait;
-use hawthornhill_follow::{FreshnessKeeper, KeeperTools, LeaderFinder, ViewHolder};
+use hawthornhill_follow::{FreshnessKeeper, KeeperTools, LeaderClient, ViewHolder};
 use peer::{
     FreshnessAnswer, FreshnessGrant, PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget,
     ViewTransfer,
@@ -105,7 +105,7 @@
         logger: root_logger(LogFormat::Json, "entry-1"),
         timer: TimerService::start(),
     };
-    let leader = Arc::new(LeaderFinder::new(link.clone(), vec![target]));
+    let leader = Arc::new(LeaderClient::new(link.clone(), vec![target]));
     let keeper = tokio::spawn(FreshnessKeeper::new(holder.clone(), leader, tools).run());
     holder.confirmed.notified().await;
     keeper.abort();
--- a/crates/follow/tests/leader.rs
+++ b/crates/follow/tests/leader.rs
@@ -1,7 +1,7 @@
 //! Tests how the leader is located from seeds, over simulated links.
 
 use async_trait::async_trait;
-use hawthornhill_follow::{AnswerSource, LeaderFinder, SubmitResult};
+use hawthornhill_follow::{AnswerSource, LeaderClient, SubmitResult};
 use peer::{PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget, SubmitAnswer};
 use runtime::ReplicaAddress;
 use std::{
@@ -58,9 +58,9 @@
     let PeerTarget { host, address } = target(4);
     let link = Arc::new(RedirectingReplicas { leader: ReplicaAddress { host, address } });
     let seeds = vec![target(1), target(2), target(3)];
-    let finder = LeaderFinder::new(link, seeds);
+    let client = LeaderClient::new(link, seeds);
     let deadline = Instant::now() + Duration::from_millis(200);
-    let result = finder.submit(Command::BalanceRanges, deadline).await;
+    let result = client.submit(Command::BalanceRanges, deadline).await;
     assert_eq!(result, SubmitResult::Applied(CommandAnswer::Done));
 }
 
@@ -102,12 +102,12 @@
     let PeerTarget { host, address } = target(1);
     let leader = ReplicaAddress { host, address };
     let link = Arc::new(SlowLink { leader, asked: AtomicUsize::new(0) });
-    let finder = LeaderFinder::new(link.clone(), vec![target(1), target(2), target(3)]);
+    let client = LeaderClient::new(link.clone(), vec![target(1), target(2), target(3)]);
     let request = PeerRequest::Submit(Command::BalanceRanges);
     let timeout = Duration::from_millis(50);
-    assert!(finder.call_leader(&request, timeout, source_of).await.is_some(), "finds the leader");
+    assert!(client.call_leader(&request, timeout, source_of).await.is_some(), "finds the leader");
     assert!(
-        finder.call_leader(&request, timeout, source_of).await.is_some(),
+        client.call_leader(&request, timeout, source_of).await.is_some(),
         "waits for its answer"
     );
     assert_eq!(link.asked.load(Ordering::SeqCst), 2);
@@ -152,16 +152,16 @@
 #[tokio::test]
 async fn frozen_leader_is_replaced_by_the_newly_elected_one() {
     let link = Arc::new(FrozenLeader { asked: AtomicUsize::new(0) });
-    let finder = LeaderFinder::new(link, vec![target(1), target(2), target(3)]);
+    let client = LeaderClient::new(link, vec![target(1), target(2), target(3)]);
     let request = PeerRequest::Submit(Command::BalanceRanges);
     let timeout = Duration::from_millis(50);
     assert!(
-        finder.call_leader(&request, timeout, source_of).await.is_some(),
+        client.call_leader(&request, timeout, source_of).await.is_some(),
         "finds the first leader"
     );
     assert!(
-        finder.call_leader(&request, timeout, source_of).await.is_some(),
+        client.call_leader(&request, timeout, source_of).await.is_some(),
         "finds the new leader"
     );
-    assert_eq!(finder.leader(), Some(target(4)));
+    assert_eq!(client.leader(), Some(target(4)));
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -9,7 +9,7 @@
     routes::InstalledRoutes,
     servers::ServerTable,
 };
-use follow::{FreshnessKeeper, KeeperTools, LeaderFinder, ViewHolder};
+use follow::{FreshnessKeeper, KeeperTools, LeaderClient, ViewHolder};
 use parking_lot::RwLock;
 use policy::{BudgetTerms, FirstRoutesTerms, FreshnessGate};
 use runtime::{EventKind, EventTags, EventTimeline, Logger, MetricsRegistry, TimerService};
@@ -52,7 +52,7 @@
     /// Header fields of callers and servers.
     pub dialect: Arc<dyn WireDialect>,
     /// The way to the replicas.
-    pub leader: Arc<LeaderFinder>,
+    pub leader: Arc<LeaderClient>,
     /// Metrics.
     pub metrics: MetricsRegistry,
     /// Time line.
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use follow::LeaderFinder;
+use follow::LeaderClient;
 use hawthornhill_gateway::{
     AnswerSigns, GatewayNode, GatewaySettings, GatewayTools, RequestTerms, SendTerms, WireDialect,
 };
@@ -345,7 +345,7 @@
         };
         let tools = GatewayTools {
             dialect: Arc::new(TestDialect),
-            leader: Arc::new(LeaderFinder::new(replicas.clone(), vec![target])),
+            leader: Arc::new(LeaderClient::new(replicas.clone(), vec![target])),
             metrics: MetricsRegistry::default(),
             timeline: EventTimeline::new("entry-1"),
             logger: root_logger(LogFormat::Json, "entry-1"),
