--- a/crates/entry/src/view_store.rs
+++ b/crates/entry/src/view_store.rs
@@ -1,7 +1,7 @@
 //! Connects this entry's view to the task that keeps it fresh.
 
 use crate::{EntryContext, catalog::ServerCatalog};
-use follow::ViewHolder;
+use follow::ViewStore;
 use std::{sync::Arc, time::Instant};
 use types::{ClusterView, EntryInfo};
 
@@ -17,7 +17,7 @@
     }
 }
 
-impl ViewHolder for EntryViewStore {
+impl ViewStore for EntryViewStore {
     fn info(&self) -> EntryInfo {
         self.context.info.read().clone()
     }
--- a/crates/follow/src/keeper.rs
+++ b/crates/follow/src/keeper.rs
@@ -42,7 +42,7 @@
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Stores the view of an entry.
-pub trait ViewHolder: Send + Sync {
+pub trait ViewStore: Send + Sync {
     /// Returns the entry's registration, which is sent to the replicas.
     fn info(&self) -> EntryInfo;
     /// Returns the current view.
@@ -70,7 +70,7 @@
 
 /// Renews the freshness of the view until the process ends.
 pub struct FreshnessKeeper {
-    holder: Arc<dyn ViewHolder>,
+    store: Arc<dyn ViewStore>,
     leader: Arc<LeaderClient>,
     tools: KeeperTools,
     selector: ReplicaSelector,
@@ -83,10 +83,10 @@
 
 impl FreshnessKeeper {
     /// Returns a task that keeps the store's view fresh.
-    pub fn new(holder: Arc<dyn ViewHolder>, leader: Arc<LeaderClient>, tools: KeeperTools) -> Self {
-        let selector = ReplicaSelector::new(holder.info().domain);
+    pub fn new(store: Arc<dyn ViewStore>, leader: Arc<LeaderClient>, tools: KeeperTools) -> Self {
+        let selector = ReplicaSelector::new(store.info().domain);
         Self {
-            holder,
+            store,
             leader,
             tools,
             selector,
@@ -103,7 +103,7 @@
             let started = Instant::now();
             self.renew().await;
             self.record_gate_change();
-            if self.holder.view().version == ViewVersion::default() {
+            if self.store.view().version == ViewVersion::default() {
                 // Nothing can be served before the first view.
                 sleep(first_view_pause(started.elapsed())).await;
             } else if ticks.tick().await.is_none() {
@@ -114,7 +114,7 @@
 
     async fn renew(&mut self) {
         let sent = Instant::now();
-        let version = self.holder.view().version;
+        let version = self.store.view().version;
         match self.request_grant(version).await {
             Some(grant) => self.apply_grant(grant, version, sent),
             None => self.tools.counters.count("not-confirmed"),
@@ -124,7 +124,7 @@
     /// Asks the selected replica, and the leader too if the replica fails or is slow to answer.
     async fn request_grant(&mut self, version: ViewVersion) -> Option<FreshnessGrant> {
         let request = |may_relay| {
-            let entry = Some(self.holder.info());
+            let entry = Some(self.store.info());
             let known_replicas = self.leader.replicas_digest();
             let request = FreshnessRequest { entry, version, known_replicas, may_relay };
             PeerRequest::Freshness(request)
@@ -183,7 +183,7 @@
 
     fn apply_grant(&self, grant: FreshnessGrant, requested: ViewVersion, sent: Instant) {
         self.leader.set_replicas(&grant.replicas);
-        let current = self.holder.view();
+        let current = self.store.view();
         debug_assert_eq!(current.version, requested, "only this task changes the view");
         let update = match grant.update.unpack() {
             Ok(update) => update,
@@ -201,22 +201,22 @@
                 "from" => current.version.0, "routing" => view.routing_version().0,
                 "servers" => view.servers().count(), "entries" => view.entries().count());
             // The store must apply drains before the gate is confirmed for this view.
-            self.holder.install(Arc::new(view));
+            self.store.install(Arc::new(view));
             let tags = EventTags::default();
             self.tools.timeline.record(EventKind::ChangeInForce, tags, detail);
         }
-        self.holder.confirm(sent);
+        self.store.confirm(sent);
         self.tools.counters.count("confirmed");
     }
 
     fn record_gate_change(&mut self) {
-        let is_open = self.holder.is_open();
+        let is_open = self.store.is_open();
         if is_open == self.was_open {
             return;
         }
         self.was_open = is_open;
         let tags = EventTags::default();
-        let version = self.holder.view().version.0;
+        let version = self.store.view().version.0;
         if is_open {
             info!(self.tools.logger, "replicas in touch: the view is confirmed";
                 "version" => version);
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -6,6 +6,6 @@
 mod near;
 
 pub use grants::AnswerSource;
-pub use keeper::{FreshnessKeeper, KeeperTools, ViewHolder};
+pub use keeper::{FreshnessKeeper, KeeperTools, ViewStore};
 pub use leader::{LeaderClient, SubmitResult};
 pub use near::ReplicaSelector;
--- a/crates/follow/tests/keeper.rs
+++ b/crates/follow/tests/keeper.rs
@@ -2,7 +2,7 @@
 //! the follower does not answer in time.
 
 use async_trait::async_trait;
-use hawthornhill_follow::{FreshnessKeeper, KeeperTools, LeaderClient, ViewHolder};
+use hawthornhill_follow::{FreshnessKeeper, KeeperTools, LeaderClient, ViewStore};
 use peer::{
     FreshnessAnswer, FreshnessGrant, PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget,
     ViewTransfer,
@@ -59,7 +59,7 @@
     confirmed: Notify,
 }
 
-impl ViewHolder for SignallingStore {
+impl ViewStore for SignallingStore {
     fn info(&self) -> EntryInfo {
         let address = ([10, 0, 0, 9], 1).into();
         EntryInfo {
@@ -98,7 +98,7 @@
     let link = Arc::new(SlowFollowers { delay, asked_leader: AtomicUsize::new(0) });
     let host = "core-1".parse().expect("valid");
     let target = PeerTarget { host, address: ([10, 0, 0, 1], 1).into() };
-    let holder = Arc::new(SignallingStore { version, confirmed: Notify::new() });
+    let store = Arc::new(SignallingStore { version, confirmed: Notify::new() });
     let tools = KeeperTools {
         counters: MetricsRegistry::default().decisions("freshness", "test"),
         timeline: EventTimeline::new("entry-1"),
@@ -106,8 +106,8 @@
         timer: TimerService::start(),
     };
     let leader = Arc::new(LeaderClient::new(link.clone(), vec![target]));
-    let keeper = tokio::spawn(FreshnessKeeper::new(holder.clone(), leader, tools).run());
-    holder.confirmed.notified().await;
+    let keeper = tokio::spawn(FreshnessKeeper::new(store.clone(), leader, tools).run());
+    store.confirmed.notified().await;
     keeper.abort();
     link.asked_leader.load(Ordering::SeqCst)
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -9,7 +9,7 @@
     routes::InstalledRoutes,
     servers::ServerTable,
 };
-use follow::{FreshnessKeeper, KeeperTools, LeaderClient, ViewHolder};
+use follow::{FreshnessKeeper, KeeperTools, LeaderClient, ViewStore};
 use parking_lot::RwLock;
 use policy::{BudgetTerms, FirstRoutesTerms, FreshnessGate};
 use runtime::{EventKind, EventTags, EventTimeline, Logger, MetricsRegistry, TimerService};
@@ -89,7 +89,7 @@
     table: Arc<ServerTable>,
 }
 
-impl ViewHolder for GatewayHolder {
+impl ViewStore for GatewayHolder {
     fn info(&self) -> EntryInfo {
         self.info.read().clone()
     }
