--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -5,7 +5,7 @@
     view_store::EntryViewStore,
 };
 use caller::{CallerListener, IntakeError, IntakeSettings};
-use follow::{FreshnessKeeper, KeeperTools, LeaderClient};
+use follow::{KeeperTools, LeaderClient, ViewRefresher};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
 use policy::{AdmissionGate, AdmissionSettings, LoadSettings, ServerView};
 use runtime::{EventKind, EventTags};
@@ -107,7 +107,7 @@
             timer: context.timer.clone(),
         };
         let store = Arc::new(EntryViewStore::new(context.clone(), catalog.clone()));
-        tokio::spawn(FreshnessKeeper::new(store, leader, tools).run());
+        tokio::spawn(ViewRefresher::new(store, leader, tools).run());
         let stop = Arc::new(Notify::new());
         let callers = tokio::spawn(listener.serve(stop.clone(), settings.stop_grace));
         let callers = tokio::sync::Mutex::new(Some(callers));
--- a/crates/follow/src/keeper.rs
+++ b/crates/follow/src/refresher.rs
@@ -55,7 +55,7 @@
     fn is_open(&self) -> bool;
 }
 
-/// Services of the process that a [`FreshnessKeeper`] uses.
+/// Services of the process that a [`ViewRefresher`] uses.
 #[derive(Clone)]
 pub struct KeeperTools {
     /// Counters of confirmations.
@@ -69,7 +69,7 @@
 }
 
 /// Renews the freshness of the view until the process ends.
-pub struct FreshnessKeeper {
+pub struct ViewRefresher {
     store: Arc<dyn ViewStore>,
     leader: Arc<LeaderClient>,
     tools: KeeperTools,
@@ -81,7 +81,7 @@
     was_open: bool,
 }
 
-impl FreshnessKeeper {
+impl ViewRefresher {
     /// Returns a task that keeps the store's view fresh.
     pub fn new(store: Arc<dyn ViewStore>, leader: Arc<LeaderClient>, tools: KeeperTools) -> Self {
         let selector = ReplicaSelector::new(store.info().domain);
--- a/crates/follow/tests/keeper.rs
+++ b/crates/follow/tests/keeper.rs
@@ -2,7 +2,7 @@
 //! the follower does not answer in time.
 
 use async_trait::async_trait;
-use hawthornhill_follow::{FreshnessKeeper, KeeperTools, LeaderClient, ViewStore};
+use hawthornhill_follow::{KeeperTools, LeaderClient, ViewRefresher, ViewStore};
 use peer::{
     FreshnessAnswer, FreshnessGrant, PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget,
     ViewTransfer,
@@ -106,9 +106,9 @@
         timer: TimerService::start(),
     };
     let leader = Arc::new(LeaderClient::new(link.clone(), vec![target]));
-    let keeper = tokio::spawn(FreshnessKeeper::new(store.clone(), leader, tools).run());
+    let refresher = tokio::spawn(ViewRefresher::new(store.clone(), leader, tools).run());
     store.confirmed.notified().await;
-    keeper.abort();
+    refresher.abort();
     link.asked_leader.load(Ordering::SeqCst)
 }
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -9,7 +9,7 @@
     routes::InstalledRoutes,
     servers::ServerTable,
 };
-use follow::{FreshnessKeeper, KeeperTools, LeaderClient, ViewStore};
+use follow::{KeeperTools, LeaderClient, ViewRefresher, ViewStore};
 use parking_lot::RwLock;
 use policy::{BudgetTerms, FirstRoutesTerms, FreshnessGate};
 use runtime::{EventKind, EventTags, EventTimeline, Logger, MetricsRegistry, TimerService};
@@ -166,7 +166,7 @@
             logger: logger.clone(),
             timer,
         };
-        tokio::spawn(FreshnessKeeper::new(holder.clone(), leader, keeper_tools).run());
+        tokio::spawn(ViewRefresher::new(holder.clone(), leader, keeper_tools).run());
         let (stop, stopping) = watch::channel(StopStage::Serving);
         let connections = Arc::new(AtomicUsize::new(0));
         let listener = GatewayListener {
