--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -5,7 +5,7 @@
     view_store::EntryViewStore,
 };
 use caller::{CallerListener, IntakeError, IntakeSettings};
-use follow::{KeeperTools, LeaderClient, ViewRefresher};
+use follow::{LeaderClient, RefresherContext, ViewRefresher};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
 use policy::{AdmissionGate, AdmissionSettings, LoadSettings, ServerView};
 use runtime::{EventKind, EventTags};
@@ -100,14 +100,14 @@
         tokio::spawn(serve_announcements(announcements, catalog.clone(), counters));
         tokio::spawn(catalog.clone().run());
         tokio::spawn(prober.run());
-        let tools = KeeperTools {
+        let refresher_context = RefresherContext {
             counters: context.counters.freshness.clone(),
             timeline: context.timeline.clone(),
             logger: context.logger.clone(),
             timer: context.timer.clone(),
         };
         let store = Arc::new(EntryViewStore::new(context.clone(), catalog.clone()));
-        tokio::spawn(ViewRefresher::new(store, leader, tools).run());
+        tokio::spawn(ViewRefresher::new(store, leader, refresher_context).run());
         let stop = Arc::new(Notify::new());
         let callers = tokio::spawn(listener.serve(stop.clone(), settings.stop_grace));
         let callers = tokio::sync::Mutex::new(Some(callers));
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -8,4 +8,4 @@
 pub use grants::AnswerSource;
 pub use leader::{LeaderClient, SubmitResult};
 pub use near::ReplicaSelector;
-pub use refresher::{KeeperTools, ViewRefresher, ViewStore};
+pub use refresher::{RefresherContext, ViewRefresher, ViewStore};
--- a/crates/follow/src/refresher.rs
+++ b/crates/follow/src/refresher.rs
@@ -57,7 +57,7 @@
 
 /// Services of the process that a [`ViewRefresher`] uses.
 #[derive(Clone)]
-pub struct KeeperTools {
+pub struct RefresherContext {
     /// Counters of confirmations.
     pub counters: DecisionCounters,
     /// Event timeline.
@@ -72,7 +72,7 @@
 pub struct ViewRefresher {
     store: Arc<dyn ViewStore>,
     leader: Arc<LeaderClient>,
-    tools: KeeperTools,
+    context: RefresherContext,
     selector: ReplicaSelector,
     /// Random number in `0.0..1.0`, fixed so that the choice among equally near replicas is stable.
     draw: f64,
@@ -83,12 +83,16 @@
 
 impl ViewRefresher {
     /// Returns a task that keeps the store's view fresh.
-    pub fn new(store: Arc<dyn ViewStore>, leader: Arc<LeaderClient>, tools: KeeperTools) -> Self {
+    pub fn new(
+        store: Arc<dyn ViewStore>,
+        leader: Arc<LeaderClient>,
+        context: RefresherContext,
+    ) -> Self {
         let selector = ReplicaSelector::new(store.info().domain);
         Self {
             store,
             leader,
-            tools,
+            context,
             selector,
             draw: rand::random(),
             last_replica: None,
@@ -98,7 +102,7 @@
 
     /// Renews the view periodically until the timer service ends.
     pub async fn run(mut self) {
-        let mut ticks = self.tools.timer.subscribe(RENEWAL_PERIOD);
+        let mut ticks = self.context.timer.subscribe(RENEWAL_PERIOD);
         loop {
             let started = Instant::now();
             self.renew().await;
@@ -117,7 +121,7 @@
         let version = self.store.view().version;
         match self.request_grant(version).await {
             Some(grant) => self.apply_grant(grant, version, sent),
-            None => self.tools.counters.count("not-confirmed"),
+            None => self.context.counters.count("not-confirmed"),
         }
     }
 
@@ -147,9 +151,9 @@
             return Some(grant);
         }
         self.selector.record_failure(target.address, Instant::now());
-        self.tools.counters.count("near-replica-failed");
+        self.context.counters.count("near-replica-failed");
         if self.last_replica.take().is_some() {
-            warn!(self.tools.logger, "replica does not confirm the view";
+            warn!(self.context.logger, "replica does not confirm the view";
                 "replica" => %target.address, "silent" => is_silent);
         }
         let from_leader =
@@ -168,7 +172,7 @@
 
     fn log_replica_change(&mut self, target: &PeerTarget, grant: &FreshnessGrant) {
         if self.last_replica.replace(target.address) != Some(target.address) {
-            info!(self.tools.logger, "replica confirms the view"; "replica" => %target.address,
+            info!(self.context.logger, "replica confirms the view"; "replica" => %target.address,
                 "domain" => %grant.domain);
         }
     }
@@ -188,8 +192,8 @@
         let update = match grant.update.unpack() {
             Ok(update) => update,
             Err(error) => {
-                self.tools.counters.count("view-malformed");
-                warn!(self.tools.logger, "cannot decode the view update"; "error" => %error);
+                self.context.counters.count("view-malformed");
+                warn!(self.context.logger, "cannot decode the view update"; "error" => %error);
                 return;
             }
         };
@@ -197,16 +201,16 @@
             let mut view = (*current).clone();
             view.update(update);
             let detail = format!("view {}", view.version.0);
-            info!(self.tools.logger, "view changed"; "version" => view.version.0,
+            info!(self.context.logger, "view changed"; "version" => view.version.0,
                 "from" => current.version.0, "routing" => view.routing_version().0,
                 "servers" => view.servers().count(), "entries" => view.entries().count());
             // The store must apply drains before the gate is confirmed for this view.
             self.store.install(Arc::new(view));
             let tags = EventTags::default();
-            self.tools.timeline.record(EventKind::ChangeInForce, tags, detail);
+            self.context.timeline.record(EventKind::ChangeInForce, tags, detail);
         }
         self.store.confirm(sent);
-        self.tools.counters.count("confirmed");
+        self.context.counters.count("confirmed");
     }
 
     fn record_gate_change(&mut self) {
@@ -218,13 +222,13 @@
         let tags = EventTags::default();
         let version = self.store.view().version.0;
         if is_open {
-            info!(self.tools.logger, "replicas in touch: the view is confirmed";
+            info!(self.context.logger, "replicas in touch: the view is confirmed";
                 "version" => version);
-            self.tools.timeline.record(EventKind::EntryOpened, tags, String::new());
+            self.context.timeline.record(EventKind::EntryOpened, tags, String::new());
         } else {
-            warn!(self.tools.logger, "replicas lost: the view cannot be confirmed";
+            warn!(self.context.logger, "replicas lost: the view cannot be confirmed";
                 "version" => version);
-            self.tools.timeline.record(EventKind::EntryClosed, tags, String::new());
+            self.context.timeline.record(EventKind::EntryClosed, tags, String::new());
         }
     }
 }
--- a/crates/follow/tests/keeper.rs
+++ b/crates/follow/tests/keeper.rs
@@ -2,7 +2,7 @@
 //! the follower does not answer in time.
 
 use async_trait::async_trait;
-use hawthornhill_follow::{KeeperTools, LeaderClient, ViewRefresher, ViewStore};
+use hawthornhill_follow::{LeaderClient, RefresherContext, ViewRefresher, ViewStore};
 use peer::{
     FreshnessAnswer, FreshnessGrant, PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget,
     ViewTransfer,
@@ -99,14 +99,14 @@
     let host = "core-1".parse().expect("valid");
     let target = PeerTarget { host, address: ([10, 0, 0, 1], 1).into() };
     let store = Arc::new(SignallingStore { version, confirmed: Notify::new() });
-    let tools = KeeperTools {
+    let context = RefresherContext {
         counters: MetricsRegistry::default().decisions("freshness", "test"),
         timeline: EventTimeline::new("entry-1"),
         logger: root_logger(LogFormat::Json, "entry-1"),
         timer: TimerService::start(),
     };
     let leader = Arc::new(LeaderClient::new(link.clone(), vec![target]));
-    let refresher = tokio::spawn(ViewRefresher::new(store.clone(), leader, tools).run());
+    let refresher = tokio::spawn(ViewRefresher::new(store.clone(), leader, context).run());
     store.confirmed.notified().await;
     refresher.abort();
     link.asked_leader.load(Ordering::SeqCst)
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -9,7 +9,7 @@
     routes::InstalledRoutes,
     servers::ServerTable,
 };
-use follow::{KeeperTools, LeaderClient, ViewRefresher, ViewStore};
+use follow::{LeaderClient, RefresherContext, ViewRefresher, ViewStore};
 use parking_lot::RwLock;
 use policy::{BudgetTerms, FirstRoutesTerms, FreshnessGate};
 use runtime::{EventKind, EventTags, EventTimeline, Logger, MetricsRegistry, TimerService};
@@ -160,7 +160,7 @@
             forwarder: forwarder.clone(),
             table,
         });
-        let keeper_tools = KeeperTools {
+        let keeper_tools = RefresherContext {
             counters: metrics.decisions("freshness", "Confirmations of the view"),
             timeline: timeline.clone(),
             logger: logger.clone(),
