--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -29,7 +29,7 @@
 
 /// Period of heartbeats to other entries.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
-/// Period at which servers are told to send announcements.
+/// Period of announcements, which servers receive in [`AnnounceAnswer::period_ms`].
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(3);
 /// Time allowed for a message to a shard owner.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
@@ -237,7 +237,8 @@
         });
     }
 
-    /// Pulls a shard owner's registry until the directory has all of its changes.
+    /// Pulls a shard owner's registry until the directory has all of its changes or a request
+    /// fails.
     async fn pull(&self, owner: &ShardOwnerId, first: RegistryRequest) {
         let Some(target) = self.entry_target(&owner.entry) else {
             return;
--- a/crates/follow/src/grants.rs
+++ b/crates/follow/src/grants.rs
@@ -3,7 +3,7 @@
 use peer::{FreshnessAnswer, FreshnessGrant, PeerAnswer};
 use runtime::ReplicaAddress;
 
-/// Tells whether the leader sent an answer.
+/// Whether the leader or another replica sent an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerSource {
     /// The leader sent it.
--- a/crates/follow/src/leader.rs
+++ b/crates/follow/src/leader.rs
@@ -30,9 +30,12 @@
 /// Pause before a command is submitted again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
+/// The addresses of the replicas.
 #[derive(Debug)]
 struct ReplicaTargets {
+    /// The replicas of the settings.
     seeds: Vec<PeerTarget>,
+    /// The replicas that a leader named last, or the initial seeds.
     known: Vec<PeerTarget>,
     leader: Option<PeerTarget>,
 }
@@ -269,7 +272,7 @@
         replicas_digest(targets.known.iter().map(|target| target.address))
     }
 
-    /// Returns the known replicas: those that a leader named, or the initial ones.
+    /// Returns the replicas that a leader named last, or the initial seeds.
     pub(crate) fn replicas(&self) -> Vec<PeerTarget> {
         self.targets.lock().known.clone()
     }
--- a/crates/follow/src/refresher.rs
+++ b/crates/follow/src/refresher.rs
@@ -23,10 +23,10 @@
 
 /// Period of freshness requests.
 const RENEWAL_PERIOD: Duration = Duration::from_millis(250);
-/// Period of requests until there is a first view.
-const FIRST_VIEW_PERIOD: Duration = Duration::from_millis(50);
-/// Longest period of requests until there is a first view.
-const MAX_FIRST_VIEW_PERIOD: Duration = Duration::from_millis(200);
+/// Minimum pause between requests until there is a first view.
+const MIN_FIRST_VIEW_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum pause between requests until there is a first view.
+const MAX_FIRST_VIEW_PAUSE: Duration = Duration::from_millis(200);
 /// Pause before the next request for a first view, as a multiple of the duration of the last one.
 /// When all entries start together, this asks slow replicas less often.
 const FIRST_VIEW_BACKOFF: u32 = 2;
@@ -68,7 +68,7 @@
     pub timer: TimerService,
 }
 
-/// Renews the freshness of the view until the process ends.
+/// Requests confirmations and changes of an entry's view until the timer service ends.
 pub struct ViewRefresher {
     store: Arc<dyn ViewStore>,
     leader: Arc<LeaderClient>,
@@ -116,6 +116,7 @@
         }
     }
 
+    /// Requests one confirmation of the view and applies the grant.
     async fn renew(&mut self) {
         let sent = Instant::now();
         let version = self.store.view().version;
@@ -213,6 +214,7 @@
         self.context.counters.count("confirmed");
     }
 
+    /// Logs and records when the entry starts or stops accepting new work.
     fn record_gate_change(&mut self) {
         let is_open = self.store.is_open();
         if is_open == self.was_open {
@@ -235,5 +237,5 @@
 
 /// Returns the pause before the next request for a first view.
 fn first_view_pause(last_duration: Duration) -> Duration {
-    (last_duration * FIRST_VIEW_BACKOFF).clamp(FIRST_VIEW_PERIOD, MAX_FIRST_VIEW_PERIOD)
+    (last_duration * FIRST_VIEW_BACKOFF).clamp(MIN_FIRST_VIEW_PAUSE, MAX_FIRST_VIEW_PAUSE)
 }
