--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -2,7 +2,7 @@
 
 use crate::membership::{MemberHealth, plan_member_change};
 use consensus::{Member, MemberRole, MembershipChange, ReplicaId};
-use follow::{LeaderFinder, SubmitResult};
+use follow::{LeaderClient, SubmitResult};
 use replica::{ReplicaHandle, ReplicaStatus};
 use runtime::{Logger, TimerService};
 use slog::{info, warn};
@@ -38,7 +38,7 @@
 pub struct MembershipManager {
     settings: MembershipSettings,
     replica: ReplicaHandle,
-    leader: Arc<LeaderFinder>,
+    leader: Arc<LeaderClient>,
     logger: Logger,
     /// When each member was last active; maintained only while this replica leads.
     last_active: BTreeMap<ReplicaId, Instant>,
@@ -60,7 +60,7 @@
     pub fn new(
         settings: MembershipSettings,
         replica: ReplicaHandle,
-        leader: Arc<LeaderFinder>,
+        leader: Arc<LeaderClient>,
         logger: Logger,
     ) -> Self {
         Self {
--- a/crates/control/src/liveness.rs
+++ b/crates/control/src/liveness.rs
@@ -1,6 +1,6 @@
 //! Records which servers announce themselves to this replica and reports them to the leader.
 
-use follow::LeaderFinder;
+use follow::LeaderClient;
 use parking_lot::Mutex;
 use peer::{PeerLink, PeerRequest};
 use runtime::TimerService;
@@ -26,7 +26,7 @@
     /// servers are kept for the next report.
     pub(crate) async fn run(
         self: Arc<Self>,
-        leader: Arc<LeaderFinder>,
+        leader: Arc<LeaderClient>,
         link: Arc<dyn PeerLink>,
         timer: TimerService,
     ) {
--- a/crates/control/src/plane.rs
+++ b/crates/control/src/plane.rs
@@ -2,7 +2,7 @@
 
 use crate::{ControlError, EntryDirectory, directory_entries, liveness::LivenessReporter};
 use async_trait::async_trait;
-use follow::{LeaderFinder, SubmitResult};
+use follow::{LeaderClient, SubmitResult};
 use peer::{PeerLink, SubmitAnswer};
 use replica::ReplicaHandle;
 use runtime::{DecisionCounters, Logger, TimerService};
@@ -55,7 +55,7 @@
 /// The control plane of a replica, which submits every decision to the leader, local or remote.
 pub struct ReplicaControl {
     replica: ReplicaHandle,
-    leader: Arc<LeaderFinder>,
+    leader: Arc<LeaderClient>,
     liveness: Arc<LivenessReporter>,
     domains: BTreeSet<DomainName>,
     counters: DecisionCounters,
@@ -69,7 +69,7 @@
     /// is empty, every failure domain is accepted.
     pub fn start(
         replica: ReplicaHandle,
-        leader: Arc<LeaderFinder>,
+        leader: Arc<LeaderClient>,
         link: Arc<dyn PeerLink>,
         domains: BTreeSet<DomainName>,
         timer: TimerService,
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -2,7 +2,7 @@
 //! join, and replacement of a replica that lost its disk.
 
 use consensus::{CoreSettings, MemberRole, ReplicaId};
-use follow::LeaderFinder;
+use follow::LeaderClient;
 use hawthornhill_control::{MembershipManager, MembershipSettings, seed_identity};
 use peer::{PeerAnswer, PeerHandler, PeerLink, PeerRequest, PeerTarget, StreamNode};
 use replica::{
@@ -49,7 +49,7 @@
         let link: Arc<dyn PeerLink> = Arc::new(node.clone());
         let target = |address: &SocketAddr| PeerTarget { host: host.clone(), address: *address };
         let targets = seeds.iter().map(target).collect();
-        let leader = Arc::new(LeaderFinder::new(link.clone(), targets));
+        let leader = Arc::new(LeaderClient::new(link.clone(), targets));
         let identity = if is_first { seed_identity(address) } else { ReplicaId(rand::random()) };
         let (store, restored) = FileStore::open(folder, identity).expect("a usable folder");
         let logger = root_logger(LogFormat::Json, host.as_str());
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -9,7 +9,7 @@
     routes::InstalledRoutes,
     servers::ServerTable,
 };
-use follow::{FreshnessKeeper, KeeperTools, LeaderFinder, ViewHolder};
+use follow::{LeaderClient, RefresherContext, ViewRefresher, ViewStore};
 use parking_lot::RwLock;
 use policy::{BudgetTerms, FirstRoutesTerms, FreshnessGate};
 use runtime::{EventKind, EventTags, EventTimeline, Logger, MetricsRegistry, TimerService};
@@ -52,7 +52,7 @@
     /// Header fields of callers and servers.
     pub dialect: Arc<dyn WireDialect>,
     /// The way to the replicas.
-    pub leader: Arc<LeaderFinder>,
+    pub leader: Arc<LeaderClient>,
     /// Metrics.
     pub metrics: MetricsRegistry,
     /// Time line.
@@ -89,7 +89,7 @@
     table: Arc<ServerTable>,
 }
 
-impl ViewHolder for GatewayHolder {
+impl ViewStore for GatewayHolder {
     fn info(&self) -> EntryInfo {
         self.info.read().clone()
     }
@@ -160,13 +160,13 @@
             forwarder: forwarder.clone(),
             table,
         });
-        let keeper_tools = KeeperTools {
+        let keeper_tools = RefresherContext {
             counters: metrics.decisions("freshness", "Confirmations of the view"),
             timeline: timeline.clone(),
             logger: logger.clone(),
             timer,
         };
-        tokio::spawn(FreshnessKeeper::new(holder.clone(), leader, keeper_tools).run());
+        tokio::spawn(ViewRefresher::new(holder.clone(), leader, keeper_tools).run());
         let (stop, stopping) = watch::channel(StopStage::Serving);
         let connections = Arc::new(AtomicUsize::new(0));
         let listener = GatewayListener {
