--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,10 +1,10 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, StatusCode, header};
 use std::time::Duration;
 
-/// Header fields that concern one connection only.
+/// Hop-by-hop header fields, which are not forwarded.
 const HOP_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -15,37 +15,37 @@
     header::UPGRADE,
 ];
 
-/// A whole answer, of a server or of the entry itself.
+/// A complete response, from a server or from the entry itself.
 #[derive(Debug, Clone)]
 pub struct GatewayAnswer {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Header fields that concern the answer.
+    /// End-to-end header fields.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// When a refused caller should come back.
+    /// How long a refused caller should wait before it retries.
     pub retry_after: Option<Duration>,
-    /// The caller's connection is closed behind the answer.
+    /// Whether the caller's connection is closed after this response.
     pub is_last: bool,
 }
 
 impl GatewayAnswer {
-    /// Returns an answer of the entry itself.
+    /// Returns a response from the entry itself, with `reason` as its body.
     pub fn own(status: StatusCode, reason: &str) -> Self {
         let body = Bytes::from(format!("{reason}\n"));
         let headers = HeaderMap::new();
         Self { status, headers, body, retry_after: None, is_last: false }
     }
 
-    /// Returns a refusal of a request that has not run and will not run.
+    /// Returns a 503 response to a request that has not run and will not run.
     pub fn refused(reason: &str, retry_after: Duration) -> Self {
         let answer = Self::own(StatusCode::SERVICE_UNAVAILABLE, reason);
         Self { retry_after: Some(retry_after), ..answer }
     }
 }
 
-/// Removes the fields that concern one connection only, also those that `Connection` names.
+/// Removes the hop-by-hop fields, including those that `Connection` lists.
 pub(crate) fn remove_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one server, and what came of it.
+//! A single attempt: sends a request to one server and classifies the outcome.
 
 use crate::{
     GatewayAnswer, SendTerms, WireDialect,
@@ -13,7 +13,7 @@
 use std::{sync::Arc, time::Instant};
 use tokio::time::timeout_at;
 
-/// A request as it is sent to servers.
+/// A request in the form in which it is sent to servers.
 #[derive(Debug, Clone)]
 pub(crate) struct PreparedRequest {
     pub(crate) id: Option<HeaderValue>,
@@ -21,29 +21,29 @@
     pub(crate) target: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// When the caller no longer waits.
+    /// When the caller stops waiting.
     pub(crate) caller_deadline: Instant,
-    /// When the entry gives up.
+    /// When the entry gives up; not later than `caller_deadline`.
     pub(crate) deadline: Instant,
 }
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptOutcome {
-    /// The server's answer, to be passed on.
+    /// The server's response, to be forwarded to the caller.
     Answered(GatewayAnswer),
-    /// The server failed the request by its own account; the answer may be passed on.
+    /// The server responded with a 5xx status; the response may be forwarded to the caller.
     Failed(GatewayAnswer),
     /// The server did not run the request.
     NotRun(String),
     /// The server may have run the request.
     Unknown(String),
-    /// The time is up; the server may have run the request.
+    /// The deadline passed; the server may have run the request.
     TimedOut,
 }
 
 impl AttemptOutcome {
-    /// Returns a short name for logs and counters.
+    /// Returns the name of the outcome in logs and counters.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -55,7 +55,7 @@
     }
 }
 
-/// Sends a request to a server that has just answered a probe.
+/// Sends a request to a server that has just responded to a probe.
 pub(crate) async fn run_attempt(
     request: &PreparedRequest,
     probed: ProbedServer,
@@ -101,7 +101,7 @@
     outcome
 }
 
-/// Decides what a whole answer means.
+/// Determines the outcome of an attempt from the complete response.
 fn classify_answer(
     request: &PreparedRequest,
     answer: ServerAnswer,
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading whole bodies within bounds.
+//! Reads complete bodies within limits on their size and on the memory of the process.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -9,28 +9,28 @@
 };
 use thiserror::Error;
 
-/// Says why a body was not read.
+/// The reason why a body was not read.
 #[derive(Debug, Error)]
 pub(crate) enum BodyError {
-    /// It is longer than allowed.
+    /// The body exceeds this limit, in bytes.
     #[error("the body has more than {0} bytes")]
     TooLarge(u64),
-    /// The entry holds too many bodies already.
+    /// The limit on the memory for all bodies is reached.
     #[error("no memory for the body")]
     NoMemory,
-    /// It ended early.
+    /// The connection failed before the end of the body.
     #[error("the body broke off: {0}")]
     BrokenOff(hyper::Error),
 }
 
-/// Bytes of bodies that a process holds at present, against a bound.
+/// Tracks the bytes of all buffered bodies of a process against a limit.
 #[derive(Debug)]
 pub(crate) struct BodyMemory {
     reserved: AtomicU64,
     limit: u64,
 }
 
-/// A part of the memory for bodies, given back when dropped.
+/// Bytes reserved in a [`BodyMemory`], released on drop.
 #[derive(Debug)]
 pub(crate) struct MemoryReservation {
     memory: Arc<BodyMemory>,
@@ -44,12 +44,13 @@
 }
 
 impl MemoryReservation {
-    /// Holds nothing yet.
+    /// Returns an empty reservation.
     pub(crate) fn new(memory: &Arc<BodyMemory>) -> Self {
         Self { memory: memory.clone(), bytes: 0 }
     }
 
-    /// Holds more bytes. Fails if the process holds too many then.
+    /// Reserves more bytes. Fails if the total then exceeds the limit; the bytes still count until
+    /// the reservation is dropped.
     pub(crate) fn grow(&mut self, bytes: u64) -> Result<(), BodyError> {
         let before = self.memory.reserved.fetch_add(bytes, Ordering::AcqRel);
         self.bytes += bytes;
@@ -63,7 +64,7 @@
     }
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 pub(crate) async fn read_whole(
     mut body: Incoming,
     limit: u64,
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, and what an entry knows of it on its way.
+//! A caller's request and its state while it is forwarded.
 
 use crate::{attempt::PreparedRequest, body::MemoryReservation};
 use bytes::Bytes;
@@ -12,48 +12,48 @@
 };
 use types::{ClusterView, PoolSpec, RouteSpec, ServerName};
 
-/// A whole request of a caller.
+/// A complete request from a caller.
 pub(crate) struct CallerRequest {
     pub(crate) method: Method,
     pub(crate) target: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The memory of the body.
+    /// The memory that the body occupies.
     pub(crate) reservation: MemoryReservation,
     pub(crate) arrived: Instant,
 }
 
-/// A request on its way, with what its log line will say.
+/// A request that is being forwarded, with the data for its log line.
 pub(crate) struct ForwardedCall {
     pub(crate) route: Arc<RouteSpec>,
     pub(crate) pool: PoolSpec,
     pub(crate) request: PreparedRequest,
     pub(crate) arrived: Instant,
-    /// How long the caller has waited before this attempt.
+    /// Estimated time that the caller has spent on earlier attempts.
     pub(crate) waited: Duration,
     pub(crate) view: Arc<ClusterView>,
     pub(crate) attempt_log: Mutex<AttemptLog>,
 }
 
 impl ForwardedCall {
-    /// Returns when the target latency passes, counted from the caller's first attempt.
+    /// Returns when the target latency has elapsed since the caller's first attempt.
     pub(crate) fn target_deadline(&self) -> Instant {
         self.arrived + self.route.target().saturating_sub(self.waited)
     }
 
-    /// Returns when the work must have started to meet the target.
+    /// Returns the latest time at which the work can start and still meet the target latency.
     pub(crate) fn latest_start(&self, usual_work: Duration) -> Instant {
         let reachable = PlacementNeed::reachable_target(usual_work, self.route.target());
         self.arrived + reachable.saturating_sub(self.waited) - usual_work
     }
 
-    /// Returns the place in line of a request whose work usually takes so long.
+    /// Returns the queue rank of the request, given the usual duration of its work.
     pub(crate) fn rank(&self, now: Instant, usual_work: Duration) -> WaitRank {
         let is_late = now >= self.latest_start(usual_work);
         WaitRank { is_late, priority: self.route.priority, arrived: self.arrived }
     }
 
-    /// Returns when the rank changes, or `end` if that is earlier.
+    /// Returns when the rank changes next, or `end` if that is earlier.
     pub(crate) fn next_rank_change(
         &self,
         now: Instant,
@@ -64,19 +64,20 @@
         if latest_start > now { latest_start.min(end) } else { end }
     }
 
-    /// Says whether the route allows one more server, counting second attempts beside the first.
+    /// Returns whether the route's `max_attempts` allows another attempt. Hedged attempts count.
     pub(crate) fn may_add_attempt(&self) -> bool {
         self.attempt_log.lock().tried.len() < usize::from(self.route.max_attempts)
     }
 }
 
-/// Servers that were tried.
+/// A record of the attempts and probes for one request.
 #[derive(Default)]
 pub(crate) struct AttemptLog {
     pub(crate) tried: SmallVec<[ServerName; 2]>,
+    /// Text for the log, one item for each attempt.
     pub(crate) summary: String,
     pub(crate) probe_count: usize,
     pub(crate) may_have_run: bool,
-    /// The server that was tried last had a free slot when it was asked.
+    /// Whether the server of the last attempt had a free slot when it was probed.
     pub(crate) had_free_slot: bool,
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller: requests in, answers out in the same order.
+//! A caller's connection: reads requests and writes the responses in the same order.
 
 use crate::{
     GatewayAnswer,
@@ -24,22 +24,23 @@
 };
 use types::CallerLimits;
 
-/// Requests of one connection that run at the same time.
+/// Maximum number of requests of one connection that run concurrently.
 const MAX_PIPELINED: usize = 16;
-/// Bytes that are read ahead while requests run, so that the end of the connection is seen.
+/// Maximum number of bytes that are read ahead while requests run, in order to detect that the caller
+/// has closed the connection.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
-/// How long a closed connection is still read from. Closing it with unread bytes would reset it,
-/// and the caller might lose the last answer.
+/// How long a connection is still read from after this side has closed it. Dropping it with unread
+/// bytes would reset it, and the caller might lose the last response.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// A request whose body is still on its way.
+/// A request whose body is not complete.
 struct PartialRequest {
     head: RequestHead,
     body: BodyDecoder,
     reservation: MemoryReservation,
 }
 
-/// What became of a request: the answer, and whether the caller wants to close behind it.
+/// The response to a request, and whether the caller wants to close the connection after it.
 struct FinishedRequest {
     answer: GatewayAnswer,
     method: Method,
@@ -54,15 +55,16 @@
     stop: watch::Receiver<StopStage>,
     buffer: BytesMut,
     partial: Option<PartialRequest>,
-    /// A whole request that may not run beside those before it.
+    /// A complete request that must wait until the requests before it are answered, and whether the
+    /// caller wants to close the connection after it.
     deferred: Option<(CallerRequest, bool)>,
     running: FuturesOrdered<BoxFuture<'static, FinishedRequest>>,
-    /// The request that runs may not run beside others.
+    /// Whether the running request excludes all others.
     is_exclusive: bool,
-    /// No request is read any more.
+    /// Whether no more requests are read.
     is_input_closed: bool,
     idle_since: Instant,
-    /// When the first byte of the request that is being read arrived.
+    /// When the first byte of the current request arrived.
     request_started: Option<Instant>,
 }
 
@@ -89,16 +91,16 @@
         }
     }
 
-    /// Serves until either side closes. Requests that may be repeated are cancelled when the
-    /// caller leaves.
+    /// Serves the connection until either side closes it. Idempotent requests are cancelled when the
+    /// caller disconnects.
     pub(crate) async fn run(mut self) {
-        // A caller whose connection breaks asks again.
+        // I/O errors need no handling: a caller whose connection fails retries.
         if let Ok(true) = self.serve().await {
             self.linger().await;
         }
     }
 
-    /// Returns whether this side closes the connection.
+    /// Serves the connection and returns whether this side closes it.
     async fn serve(&mut self) -> io::Result<bool> {
         loop {
             self.start_requests().await?;
@@ -140,12 +142,12 @@
         }
     }
 
-    /// Says whether a part of a request has been read.
+    /// Returns whether a request has been read at least partly and not started.
     fn has_pending_input(&self) -> bool {
         !self.buffer.is_empty() || self.partial.is_some() || self.deferred.is_some()
     }
 
-    /// Returns when a connection without a running request has used up its time.
+    /// Returns when a connection without a running request times out.
     fn read_deadline(&self) -> Instant {
         let idle = Duration::from_millis(self.limits.idle_timeout_ms.into());
         let head = Duration::from_millis(self.limits.head_timeout_ms.into());
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Starts all requests that are there in full and may run now.
+    /// Starts all requests that are complete and may run now.
     async fn start_requests(&mut self) -> io::Result<()> {
         while !self.is_input_closed && self.running.len() < MAX_PIPELINED && !self.is_exclusive {
             if self.deferred.is_none() {
@@ -182,8 +184,8 @@
         Ok(())
     }
 
-    /// Reads the next request from the buffer, with whether the caller closes behind it. `None` if
-    /// it is not there in full yet, or was refused.
+    /// Takes the next request from the buffer. Also returns whether the caller wants to close the
+    /// connection after it. `None` if the request is not complete or was refused.
     async fn next_request(&mut self) -> io::Result<Option<(CallerRequest, bool)>> {
         if self.partial.is_none() && !self.buffer.is_empty() {
             self.limits = self.forwarder.caller_limits();
@@ -193,14 +195,14 @@
             return Ok(None);
         };
         let before = partial.body.collected();
-        match partial.body.take(&mut self.buffer) {
-            Ok(is_whole) => {
+        match partial.body.decode(&mut self.buffer) {
+            Ok(is_complete) => {
                 if let Err(error) = partial.reservation.grow(partial.body.collected() - before) {
                     let error: BodyError = error;
                     self.refuse(StatusCode::SERVICE_UNAVAILABLE, &error.to_string());
                     return Ok(None);
                 }
-                if !is_whole {
+                if !is_complete {
                     self.partial = Some(partial);
                     return Ok(None);
                 }
@@ -219,6 +221,7 @@
         Ok(Some((request, is_last)))
     }
 
+    /// Parses a head from the buffer, and sends `100 Continue` if the caller waits for it.
     async fn read_head(&mut self) -> io::Result<()> {
         let max_bytes = self.limits.max_head_bytes as usize;
         let (head, length) = match parse_head(&self.buffer, max_bytes) {
@@ -249,7 +252,7 @@
         Ok(())
     }
 
-    /// Answers what was read with a refusal, behind all answers before it, and reads no more.
+    /// Queues a refusal after all earlier responses, and stops reading.
     fn refuse(&mut self, status: StatusCode, reason: &str) {
         let answer = GatewayAnswer { is_last: true, ..GatewayAnswer::own(status, reason) };
         let refused = FinishedRequest { answer, method: Method::GET, is_last: true };
@@ -259,7 +262,7 @@
         self.running.push_back(std::future::ready(refused).boxed());
     }
 
-    /// Writes an answer. Returns whether the connection closes behind it.
+    /// Writes a response. Returns whether the connection closes after it.
     async fn write_answer(&mut self, finished: FinishedRequest) -> io::Result<bool> {
         let FinishedRequest { mut answer, method, is_last } = finished;
         let is_stopping = *self.stop.borrow() > StopStage::Serving;
@@ -273,13 +276,13 @@
         Ok(is_last)
     }
 
-    /// Closes this side, and reads until the caller has closed too.
+    /// Closes this side, and reads until the caller closes or [`LINGER`] has passed.
     async fn linger(&mut self) {
         self.running.clear();
         if self.stream.shutdown().await.is_err() {
             return;
         }
-        let drain = async {
+        let read_to_end = async {
             loop {
                 self.buffer.clear();
                 match self.stream.read_buf(&mut self.buffer).await {
@@ -288,7 +291,7 @@
                 }
             }
         };
-        // A caller that does not close in time is closed on.
-        let _ = timeout(LINGER, drain).await;
+        // Drops the connection after the timeout even if the caller has not closed it.
+        let _ = timeout(LINGER, read_to_end).await;
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,55 +1,55 @@
-//! The border to the header fields that callers and servers use.
+//! The interface to the header fields that callers and servers use.
 
 use http::{HeaderMap, HeaderValue};
 use policy::ServerLoad;
 use std::time::Duration;
 use types::ServerName;
 
-/// What a caller states about a request in its header.
+/// What a caller's header fields say about a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestTerms {
-    /// Id of the caller's attempt; echoed by servers.
+    /// Id of the caller's attempt, which servers echo in their responses.
     pub id: Option<HeaderValue>,
-    /// How long the caller waits for the answer.
+    /// How long the caller waits for the response.
     pub time_allowed: Option<Duration>,
 }
 
-/// What an entry tells a server about a request.
+/// What an entry tells a server about a request in the header fields.
 #[derive(Debug, Clone, Copy)]
 pub struct SendTerms<'a> {
-    /// The server that is meant; any other one must refuse the request.
+    /// The intended server; any other server must refuse the request.
     pub server: &'a ServerName,
-    /// How long the answer is of use.
+    /// Time left until the response is of no use.
     pub time_allowed: Duration,
 }
 
-/// What a server's answer says about itself in its header.
+/// What the header fields of a server's response say about the response and the server.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerSigns {
-    /// Id of the request that is answered.
+    /// Id of the request that this is the response to.
     pub request_id: Option<HeaderValue>,
-    /// The answer carries the mark of a server that handled the request.
+    /// Whether the response carries the signature of a server that handled the request.
     pub is_signed: bool,
-    /// The server states that it did not run the request.
+    /// Whether the server states that it did not run the request.
     pub is_not_run: bool,
     /// Name of the server.
     pub server: Option<String>,
-    /// Load of the server.
+    /// Current load of the server.
     pub load: Option<ServerLoad>,
-    /// How much longer the server is cold.
+    /// Time left until the server is warm; zero if it is warm.
     pub warm_up_left: Option<Duration>,
 }
 
-/// Names and formats of header fields.
+/// Defines the names and formats of header fields.
 pub trait WireDialect: Send + Sync {
-    /// Reads what a caller states.
+    /// Parses the header fields of a caller's request.
     fn request_terms(&self, headers: &HeaderMap) -> RequestTerms;
-    /// Writes what a server is told, in place of what the caller stated.
+    /// Writes the header fields for a server and replaces the caller's fields of the same name.
     fn write_send_terms(&self, headers: &mut HeaderMap, terms: &SendTerms<'_>);
-    /// Reads what a server says.
+    /// Parses the header fields of a server's response.
     fn answer_signs(&self, headers: &HeaderMap) -> AnswerSigns;
-    /// Removes the mark of a server from an answer that is not that server's own.
+    /// Removes a server's signature from a response that is not that server's own.
     fn remove_signature(&self, headers: &mut HeaderMap);
-    /// Writes after which time a refused caller should come back.
+    /// Writes how long a refused caller should wait before it retries.
     fn write_retry_after(&self, headers: &mut HeaderMap, wait: Duration);
 }
--- a/crates/gateway/src/final_answer.rs
+++ b/crates/gateway/src/final_answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told in the end.
+//! The final response to a caller.
 
 use crate::{
     GatewayAnswer, WireDialect, attempt::AttemptOutcome, call::ForwardedCall, placer::PlaceError,
@@ -7,7 +7,8 @@
 use policy::{RoomOutlook, plan_return};
 use std::time::Duration;
 
-/// Makes the caller's answer of what the attempts came to.
+/// Builds the caller's response from the result of the attempts. Also returns the name of the
+/// outcome in logs and counters.
 pub(crate) fn final_answer(
     call: &ForwardedCall,
     result: Result<AttemptOutcome, PlaceError>,
@@ -50,8 +51,8 @@
     }
 }
 
-/// Replaces a status that promises that the request has not run, since a server that ran it
-/// gave that status.
+/// Replaces 408, 429 and 503 by 502. To a caller these statuses mean that the request has not run,
+/// but here they come from a server that ran it.
 fn replace_refusal_status(mut answer: GatewayAnswer, dialect: &dyn WireDialect) -> GatewayAnswer {
     let refusal_statuses = [
         StatusCode::REQUEST_TIMEOUT,
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! The way of a request through an entry: route, attempts, final answer.
+//! Forwards requests: finds the route, runs the attempts, and builds the final response.
 
 use crate::{
     GatewayAnswer, RequestTerms, WireDialect,
@@ -33,16 +33,16 @@
 };
 use types::{CallerLimits, ClusterView, RouteSpec, ServiceName};
 
-/// Time after which an entry that has just started usually holds routes.
+/// Typical time from the start of an entry until it has routes.
 const NO_ROUTES_WAIT: Duration = Duration::from_millis(250);
-/// Routes whose callers' patience is remembered.
+/// Maximum number of routes for which callers' timeouts are tracked; beyond it, all are forgotten.
 const MAX_TIMEOUT_ROUTES: usize = 4_096;
-/// Part of the target latency after which a second server gets an idempotent request.
+/// Fraction of the target latency after which an idempotent request is hedged.
 const HEDGE_SHARE: f64 = 0.6;
-/// Usual time of a service's work before any answer, as a part of the target latency.
+/// Initial estimate of a service's work time, as a fraction of the target latency.
 const INITIAL_WORK_SHARE: f64 = 0.4;
 
-/// What an entry has learned of one service.
+/// The state that an entry keeps for one service.
 #[derive(Default)]
 pub(crate) struct ServiceState {
     budget: SharedBudget,
@@ -50,7 +50,7 @@
     pub(crate) queue: Arc<ServiceQueue>,
 }
 
-/// Counters and histograms of forwarding.
+/// Counters and histograms of forwarded requests.
 pub(crate) struct ForwardMetrics {
     pub(crate) requests: DecisionCounters,
     pub(crate) attempts: DecisionCounters,
@@ -58,7 +58,7 @@
     pub(crate) placing: Histogram,
 }
 
-/// Forwards requests.
+/// Forwards the requests of one entry.
 pub(crate) struct RequestForwarder {
     pub(crate) placer: ServerPlacer,
     pub(crate) dialect: Arc<dyn WireDialect>,
@@ -100,15 +100,16 @@
         })
     }
 
-    /// Returns the bounds on what callers may send at present.
+    /// Returns the current limits on what callers may send.
     pub(crate) fn caller_limits(&self) -> CallerLimits {
         let routes = self.routes.borrow();
         routes.as_ref().map_or_else(CallerLimits::default, |routes| routes.document.limits.clone())
     }
 
-    /// Says whether a request may run beside others of its connection. One that may not be
-    /// repeated waits until those before it are answered, since their answers may close the
-    /// connection, and the caller then takes it for not read.
+    /// Returns whether a request may run concurrently with others of its connection. A
+    /// non-idempotent request waits until all requests before it are answered: one of those
+    /// responses might close the connection, and the caller would then assume that the request was
+    /// not read.
     pub(crate) fn may_overlap(&self, request: &CallerRequest) -> bool {
         let routes = self.routes.borrow();
         let Some(routes) = routes.as_ref() else {
@@ -117,14 +118,15 @@
         routes.find(request).is_none_or(|route| route.is_idempotent)
     }
 
-    /// Notes that bytes of a caller were refused before they were a whole request.
+    /// Records that a request was refused before it was read completely.
     pub(crate) fn record_refusal(&self, status: StatusCode, reason: &str) {
         self.metrics.requests.count("not-read");
         info!(self.logger, "request"; "id" => "-", "status" => status.as_u16(),
             "outcome" => "not-read", "reason" => reason);
     }
 
-    /// Answers a request. Dropping the future of an idempotent request cancels it at its server.
+    /// Forwards a request and returns the response. Dropping the future of an idempotent request
+    /// cancels the request at its server.
     pub(crate) async fn forward(self: &Arc<Self>, request: CallerRequest) -> GatewayAnswer {
         let terms = self.dialect.request_terms(&request.headers);
         let Some(routes) = self.wait_for_routes(&terms, request.arrived).await else {
@@ -160,13 +162,14 @@
             state.budget.note_request(arrived, &self.budget);
         });
         if is_idempotent {
-            let _held = reservation;
+            let _reservation = reservation;
             return self.serve(&call).await;
         }
-        // Runs to its end even if the caller leaves, so that no order is broken off half way.
+        // A non-idempotent request runs to completion even if the caller disconnects, so that it is
+        // not cancelled halfway.
         let forwarder = self.clone();
         let task = tokio::spawn(async move {
-            let _held = reservation;
+            let _reservation = reservation;
             forwarder.serve(&call).await
         });
         task.await.unwrap_or_else(|_| {
@@ -174,22 +177,23 @@
         })
     }
 
-    /// Returns the routes in force. An entry that has just started waits for its first ones.
+    /// Returns the current routes. An entry that has just started waits for its first ones.
     async fn wait_for_routes(
         &self,
         terms: &RequestTerms,
         arrived: Instant,
     ) -> Option<Arc<InstalledRoutes>> {
-        let reservation = self.routes.borrow().clone();
-        if reservation.is_some() {
-            return reservation;
+        let current = self.routes.borrow().clone();
+        if current.is_some() {
+            return current;
         }
         let deadline = self.first_routes.wait_until(self.started, arrived, terms.time_allowed)?;
         let mut routes = self.routes.subscribe();
-        let known = timeout_at(deadline.into(), routes.wait_for(Option::is_some)).await;
-        known.ok()?.ok()?.clone()
+        let installed = timeout_at(deadline.into(), routes.wait_for(Option::is_some)).await;
+        installed.ok()?.ok()?.clone()
     }
 
+    /// Runs the attempts for a request, then records and logs the result.
     async fn serve(&self, call: &ForwardedCall) -> GatewayAnswer {
         let result = self.run_attempts(call).await;
         let (answer, outcome) = final_answer(call, result, self.usual_work(call), &*self.dialect);
@@ -209,8 +213,8 @@
         answer
     }
 
-    /// Tries servers until one answers. Returns what the last attempt came to, or why there was
-    /// none.
+    /// Tries servers until one answers the request. Returns the outcome of the last attempt, or why
+    /// there was none.
     async fn run_attempts(&self, call: &ForwardedCall) -> Result<AttemptOutcome, PlaceError> {
         let mut last: Option<AttemptOutcome> = None;
         while call.may_add_attempt() {
@@ -231,6 +235,7 @@
         last.ok_or(PlaceError::NoServers)
     }
 
+    /// Returns whether a request may be sent again after `last`, and takes the retry from the budget.
     fn may_retry(&self, call: &ForwardedCall, last: Option<&AttemptOutcome>) -> bool {
         let now = Instant::now();
         let is_safe = match last {
@@ -243,6 +248,7 @@
         is_safe && now < call.request.deadline && self.take_retry(call, now)
     }
 
+    /// Takes one retry or hedge from this entry's share of the service's retry budget.
     fn take_retry(&self, call: &ForwardedCall, now: Instant) -> bool {
         let entries = call.view.entries().filter(|entry| entry.serving).count();
         let is_granted = self.with_service(&call.pool.service, |state| {
@@ -252,22 +258,22 @@
         is_granted
     }
 
-    /// Runs one attempt, and for an idempotent request a second one beside it if the first takes
-    /// long. The one that loses is dropped, which cancels it at its server.
+    /// Runs one attempt. If it takes long and the request is idempotent, hedges it with a second
+    /// attempt at another server. The attempt that loses is dropped, which cancels it at its server.
     async fn run_hedged(&self, call: &ForwardedCall, probed: ProbedServer) -> AttemptOutcome {
         let first = pin!(self.try_server(call, probed));
         if !call.route.is_idempotent {
             return first.await;
         }
         let hedge_at = Instant::now() + call.route.target().mul_f64(HEDGE_SHARE);
-        let waiting = pin!(sleep_until(hedge_at.min(call.request.deadline).into()));
-        let first = match futures_util::future::select(first, waiting).await {
+        let hedge_timer = pin!(sleep_until(hedge_at.min(call.request.deadline).into()));
+        let first = match futures_util::future::select(first, hedge_timer).await {
             Either::Left((outcome, _)) => return outcome,
             Either::Right(((), first)) => first,
         };
         let now = Instant::now();
-        let is_late = now >= call.request.deadline;
-        if is_late || !call.may_add_attempt() || !self.take_retry(call, now) {
+        let is_expired = now >= call.request.deadline;
+        if is_expired || !call.may_add_attempt() || !self.take_retry(call, now) {
             return first.await;
         }
         let second = pin!(async {
@@ -284,11 +290,12 @@
         }
     }
 
+    /// Runs one attempt at a server, and records it.
     async fn try_server(&self, call: &ForwardedCall, probed: ProbedServer) -> AttemptOutcome {
         let started = Instant::now();
         let (name, load) = (probed.server.name.clone(), probed.candidate.load);
         let is_listed = self.placer.table.is_listed(&call.pool.service, &probed.server);
-        let age = probed.probed.elapsed();
+        let age = probed.probed_at.elapsed();
         call.attempt_log.lock().tried.push(name.clone());
         let is_cold = probed.candidate.is_cold;
         let outcome = if is_listed {
@@ -324,6 +331,8 @@
         outcome
     }
 
+    /// Updates the estimate of the service's work time. `observed` is scaled to the usual speed of the
+    /// server.
     fn record_work(&self, call: &ForwardedCall, observed: Duration) {
         self.with_service(&call.pool.service, |state| {
             let usual = UsualWork::new(initial_work_estimate(&call.route));
@@ -331,6 +340,7 @@
         });
     }
 
+    /// Records and logs the response to a request that was not routed to a service.
     fn finish_unrouted(
         &self,
         terms: &RequestTerms,
@@ -344,6 +354,8 @@
         answer
     }
 
+    /// Records the timeout that a caller states, and returns the estimated time that the caller spent
+    /// on earlier attempts.
     fn record_caller_timeout(
         &self,
         route: &RouteSpec,
@@ -360,25 +372,26 @@
         routes.entry(route.name.clone()).or_default().note(now, stated)
     }
 
+    /// Calls `update` with the state of a service, which is created if needed.
     pub(crate) fn with_service<T>(
         &self,
         service: &ServiceName,
-        act: impl FnOnce(&mut ServiceState) -> T,
+        update: impl FnOnce(&mut ServiceState) -> T,
     ) -> T {
         let mut services = self.services.lock();
         if let Some(state) = services.get_mut(service) {
-            return act(state);
+            return update(state);
         }
-        act(services.entry(service.clone()).or_default())
+        update(services.entry(service.clone()).or_default())
     }
 }
 
-/// When to come back while this entry holds no routes yet.
+/// Returns the retry time for a request that was refused because the entry has no routes yet.
 fn no_routes_retry_after() -> Duration {
     plan_return(RoomOutlook::After(NO_ROUTES_WAIT), rand::random())
 }
 
-/// Returns the usual time of a route's work before any answer.
+/// Returns the initial estimate of a route's work time, which holds until a request has finished.
 pub(crate) fn initial_work_estimate(route: &RouteSpec) -> Duration {
     route.target().mul_f64(INITIAL_WORK_SHARE)
 }
--- a/crates/gateway/src/http1.rs
+++ b/crates/gateway/src/http1.rs
@@ -1,8 +1,8 @@
-//! The callers' side of HTTP/1.1: heads, bodies and answers as bytes.
+//! The server side of HTTP/1.1: parses request heads and bodies, and encodes responses.
 //!
-//! The server of the HTTP library starts a pipelined request only after it has answered the one
-//! before. Here idempotent requests of one connection run at the same time; answers keep their
-//! order.
+//! The server in `hyper` starts a pipelined request only after it has answered the previous one.
+//! This implementation runs the idempotent requests of one connection concurrently and sends the
+//! responses in order.
 
 mod answer_bytes;
 mod body_decoder;
--- a/crates/gateway/src/http1/answer_bytes.rs
+++ b/crates/gateway/src/http1/answer_bytes.rs
@@ -1,13 +1,14 @@
-//! Answers as bytes.
+//! Encodes responses.
 
 use crate::GatewayAnswer;
 use bytes::{BufMut, BytesMut};
 use http::{Method, StatusCode, header};
 
-/// Tells a caller to send the body of its request.
+/// Interim response that tells a caller to send the body of its request.
 pub(crate) const CONTINUE_LINE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Returns an answer with its length. The answer to a HEAD request has no body.
+/// Encodes a response. It gets a `Content-Length`, except for HEAD requests and for statuses without
+/// a body; `is_last` adds `Connection: close`.
 pub(crate) fn encode_answer(answer: &GatewayAnswer, method: &Method, is_last: bool) -> BytesMut {
     let mut bytes = BytesMut::with_capacity(256 + answer.body.len());
     bytes.put_slice(b"HTTP/1.1 ");
--- a/crates/gateway/src/http1/body_decoder.rs
+++ b/crates/gateway/src/http1/body_decoder.rs
@@ -1,34 +1,36 @@
-//! Bodies of requests, by length or in chunks.
+//! Decodes request bodies, with a `Content-Length` or chunked.
 
 use super::head::BodyFraming;
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// The longest line with the length of a chunk, or of a trailer field.
+/// Maximum length of a chunk-size line or of a trailer field, in bytes.
 const MAX_LINE_BYTES: usize = 4 * 1024;
 
-/// Says why a body is refused.
+/// The reason why a body is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(crate) enum BodyDecodeError {
-    /// A chunk is not well-formed.
+    /// A chunk or a trailer field is not well-formed.
     #[error("a chunk of the body cannot be read")]
     Malformed,
-    /// The body is longer than allowed.
+    /// The body exceeds this limit, in bytes.
     #[error("the body has more than {0} bytes")]
     TooLarge(u64),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DecoderState {
+    /// Bytes left of a body with a `Content-Length`.
     Length(u64),
     ChunkLine,
+    /// Bytes left of the current chunk.
     Chunk(u64),
     ChunkEnd,
     Trailer,
     Done,
 }
 
-/// Collects a body as its bytes arrive.
+/// Decodes a body incrementally as its bytes arrive.
 #[derive(Debug)]
 pub(crate) struct BodyDecoder {
     state: DecoderState,
@@ -37,7 +39,7 @@
 }
 
 impl BodyDecoder {
-    /// Starts a body of at most `limit` bytes. Fails at once if its stated length is greater.
+    /// Starts a body of at most `limit` bytes. Fails if its `Content-Length` exceeds the limit.
     pub(crate) fn new(framing: BodyFraming, limit: u64) -> Result<Self, BodyDecodeError> {
         let state = match framing {
             BodyFraming::Length(length) if length > limit => {
@@ -50,13 +52,13 @@
         Ok(Self { state, limit, body: BytesMut::new() })
     }
 
-    /// Returns the bytes collected so far.
+    /// Returns the number of bytes decoded so far.
     pub(crate) fn collected(&self) -> u64 {
         self.body.len() as u64
     }
 
-    /// Takes the body's bytes from the front of `buffer`. Returns whether the body is whole.
-    pub(crate) fn take(&mut self, buffer: &mut BytesMut) -> Result<bool, BodyDecodeError> {
+    /// Consumes the body's bytes from the front of `buffer`. Returns whether the body is complete.
+    pub(crate) fn decode(&mut self, buffer: &mut BytesMut) -> Result<bool, BodyDecodeError> {
         loop {
             match self.state {
                 DecoderState::Done => return Ok(true),
@@ -99,14 +101,14 @@
                 DecoderState::Trailer => match take_line(buffer)? {
                     None => return Ok(false),
                     Some(line) if line.is_empty() => self.state = DecoderState::Done,
-                    // Trailer fields are not passed on.
+                    // Trailer fields are discarded.
                     Some(_) => {}
                 },
             }
         }
     }
 
-    /// Returns the whole body.
+    /// Returns the complete body.
     pub(crate) fn finish(self) -> Bytes {
         self.body.freeze()
     }
@@ -121,11 +123,11 @@
     }
 }
 
-/// Takes a line without its end. `None` if it is not there in full yet.
+/// Removes a line from the buffer and returns it without its CRLF. `None` if it is not complete.
 fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, BodyDecodeError> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
-        let is_short = buffer.len() <= MAX_LINE_BYTES;
-        return if is_short { Ok(None) } else { Err(BodyDecodeError::Malformed) };
+        let is_within_limit = buffer.len() <= MAX_LINE_BYTES;
+        return if is_within_limit { Ok(None) } else { Err(BodyDecodeError::Malformed) };
     };
     let mut line = buffer.split_to(end + 1);
     line.truncate(end);
--- a/crates/gateway/src/http1/head.rs
+++ b/crates/gateway/src/http1/head.rs
@@ -1,36 +1,36 @@
-//! Heads of requests, and how long their bodies are.
+//! Parses request heads and determines how their bodies are framed.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Uri, header};
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The greatest number of header fields.
+/// Maximum number of header fields.
 const MAX_FIELDS: usize = 128;
 
-/// Says why a head is refused.
+/// The reason why a request head is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(crate) enum HeadError {
-    /// It is longer, or has more fields, than allowed.
+    /// The head exceeds the limit on its bytes or fields.
     #[error("the head is too large")]
     TooLarge,
-    /// It is not HTTP/1.1 or 1.0.
+    /// The head is not valid HTTP/1.1 or 1.0.
     #[error("the head cannot be read")]
     Malformed,
-    /// Its host is missing or stated twice.
+    /// `Host` is missing or occurs more than once.
     #[error("Host: not stated exactly once")]
     Host,
-    /// The length of its body is stated in more than one way, so that two readers may disagree
-    /// about where the next request begins.
+    /// The framing of the body is ambiguous, so that this entry and a server might disagree about
+    /// where the next request begins (request smuggling).
     #[error("the length of the body is ambiguous")]
     AmbiguousLength,
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BodyFraming {
-    /// By its length in bytes; 0 for no body.
+    /// By the length in bytes; 0 if there is no body.
     Length(u64),
-    /// By the last chunk.
+    /// By the zero-length chunk.
     Chunked,
 }
 
@@ -41,14 +41,14 @@
     pub(crate) target: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) framing: BodyFraming,
-    /// The caller wants the connection closed behind the answer.
+    /// Whether the caller wants the connection closed after the response.
     pub(crate) is_last: bool,
-    /// The caller waits for a sign before it sends the body.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     pub(crate) expects_continue: bool,
 }
 
-/// Reads the head at the start of `bytes`, and returns it with its length. `None` if it is not
-/// there in full yet.
+/// Parses the head at the start of `bytes` and returns it with its length in bytes. `None` if the
+/// head is not complete.
 pub(crate) fn parse_head(
     bytes: &[u8],
     max_bytes: usize,
@@ -95,10 +95,10 @@
     match (lengths.next(), encodings.next()) {
         (None, None) => Ok(BodyFraming::Length(0)),
         (Some(length), None) => {
-            let is_same = lengths.all(|other| other == length);
+            let is_consistent = lengths.all(|other| other == length);
             let text = length.to_str().map_err(|_| HeadError::AmbiguousLength)?;
             let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-            if !is_same || !is_number {
+            if !is_consistent || !is_number {
                 return Err(HeadError::AmbiguousLength);
             }
             text.parse().map(BodyFraming::Length).map_err(|_| HeadError::AmbiguousLength)
@@ -106,16 +106,16 @@
         (None, Some(encoding)) => {
             let is_chunked = encoding.as_bytes().eq_ignore_ascii_case(b"chunked");
             let is_only = encodings.next().is_none();
-            let is_clear = is_chunked && is_only && !is_http_10;
-            is_clear.then_some(BodyFraming::Chunked).ok_or(HeadError::AmbiguousLength)
+            let is_unambiguous = is_chunked && is_only && !is_http_10;
+            is_unambiguous.then_some(BodyFraming::Chunked).ok_or(HeadError::AmbiguousLength)
         }
         (Some(_), Some(_)) => Err(HeadError::AmbiguousLength),
     }
 }
 
-/// Says whether a field lists a word.
-fn has_token(headers: &HeaderMap, field: HeaderName, word: &str) -> bool {
+/// Returns whether a comma-separated field contains a token, ignoring case.
+fn has_token(headers: &HeaderMap, field: HeaderName, token: &str) -> bool {
     let values = headers.get_all(field);
     let mut texts = values.iter().filter_map(|value| value.to_str().ok());
-    texts.any(|text| text.split(',').any(|part| part.trim().eq_ignore_ascii_case(word)))
+    texts.any(|text| text.split(',').any(|part| part.trim().eq_ignore_ascii_case(token)))
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: forwards callers' requests along routes to registered servers.
+//! The gateway: an HTTP/1.1 reverse proxy that forwards callers' requests to registered servers.
 //!
-//! An entry asks a few servers for their load when it places a request, and sends the request on a
-//! connection that has just answered. Decisions live in `policy`; the names of header fields come
-//! from a [`WireDialect`].
+//! For each request, an entry probes a few servers for their load and sends the request on a
+//! connection on which a server has just responded to a probe. Load-balancing decisions are in
+//! `policy`; the names and formats of header fields are defined by a [`WireDialect`].
 
 mod answer;
 mod attempt;
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections until a planned stop.
+//! Accepts callers' connections until a graceful shutdown.
 
 use crate::{connection::CallerConnection, forwarder::RequestForwarder};
 use runtime::DecisionCounters;
@@ -15,21 +15,21 @@
     time::sleep,
 };
 
-/// Pause after the system refused to accept a connection.
+/// Delay before the next `accept` after one failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How far a planned stop has come.
+/// The stage of a graceful shutdown, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum StopStage {
-    /// No stop.
+    /// No shutdown has begun.
     Serving,
-    /// Each connection is closed behind its next answer.
+    /// Each connection is closed after its next response.
     FinishingRequests,
-    /// Idle connections are closed, and no new ones are taken.
+    /// Idle connections are closed, and no new connections are accepted.
     Closing,
 }
 
-/// Serves callers on one socket.
+/// Accepts and serves callers on one socket.
 pub struct GatewayListener {
     pub(crate) forwarder: Arc<RequestForwarder>,
     pub(crate) stop: watch::Receiver<StopStage>,
@@ -38,7 +38,7 @@
 }
 
 impl GatewayListener {
-    /// Accepts connections until a planned stop closes the socket.
+    /// Accepts connections until the shutdown reaches [`StopStage::Closing`].
     pub(crate) async fn serve(self, listener: TcpListener) {
         let mut stop = self.stop.clone();
         loop {
@@ -60,7 +60,8 @@
     }
 
     fn start_connection(&self, stream: TcpStream) {
-        // Small answers must not wait for more data; a socket without the option still works.
+        // Disables Nagle's algorithm, which would delay small responses. The socket still works if
+        // this fails.
         let _ = stream.set_nodelay(true);
         self.counters.count("connection-accepted");
         let (forwarder, stop) = (self.forwarder.clone(), self.stop.clone());
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! A gateway entry as a whole: its view, its tasks, and its planned stop.
+//! A running gateway entry: its view, its tasks, and its graceful shutdown.
 
 use crate::{
     GatewayListener, WireDialect,
@@ -27,45 +27,46 @@
 use tokio::{net::TcpListener, sync::watch, time::sleep};
 use types::{ClusterView, EntryInfo, RouteTable};
 
-/// Period at which a stopping entry looks whether all connections have ended.
+/// Period at which a stopping entry checks whether all connections have ended.
 const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// How a gateway entry behaves.
+/// Settings of a gateway entry.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
-    /// This entry, as it registers itself.
+    /// The entry as it registers with the replicas.
     pub info: EntryInfo,
-    /// The budget of repeated sends of all entries together.
+    /// The retry budget that all entries share.
     pub budget: BudgetTerms,
-    /// How long requests wait for first routes after a start.
+    /// How long requests wait for the first routes after a start.
     pub first_routes: FirstRoutesTerms,
-    /// Bytes of bodies that the entry holds at the same time.
+    /// Maximum number of bytes of all bodies that the entry buffers.
     pub body_memory_bytes: u64,
-    /// How long a stopping entry still takes connections, for callers that do not know yet.
+    /// How long a stopping entry still accepts connections, for callers that have not learned of the
+    /// stop yet.
     pub farewell: Duration,
-    /// How long a stopping entry waits for requests in flight after that.
+    /// How long a stopping entry then waits for requests in flight.
     pub stop_grace: Duration,
 }
 
-/// What a gateway entry uses of its process.
+/// Shared services of the process that a gateway entry uses.
 pub struct GatewayTools {
-    /// Header fields of callers and servers.
+    /// Defines the header fields of callers and servers.
     pub dialect: Arc<dyn WireDialect>,
-    /// The way to the replicas.
+    /// Finds the leader of the replicas.
     pub leader: Arc<LeaderFinder>,
-    /// Metrics.
+    /// Registry of the metrics.
     pub metrics: MetricsRegistry,
-    /// Time line.
+    /// Event timeline.
     pub timeline: EventTimeline,
-    /// Log.
+    /// Logger.
     pub logger: Logger,
     /// Timer service.
     pub timer: TimerService,
 }
 
-/// Says why a gateway entry could not start.
+/// A gateway entry could not start because binding the callers' address failed.
 #[derive(Debug, Error)]
-#[error("caller address {address}: {source}")]
+#[error("failed to bind caller address {address}: {source}")]
 pub struct GatewayError {
     address: SocketAddr,
     source: io::Error,
@@ -81,6 +82,7 @@
     logger: Logger,
 }
 
+/// The view of an entry and what is derived from it.
 struct GatewayHolder {
     info: RwLock<EntryInfo>,
     view: Arc<RwLock<Arc<ClusterView>>>,
@@ -121,7 +123,11 @@
 }
 
 impl GatewayNode {
-    /// Opens the callers' address and starts the entry's tasks.
+    /// Binds the callers' address and starts the entry's tasks.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address cannot be bound.
     pub async fn start(
         settings: GatewaySettings,
         tools: GatewayTools,
@@ -179,18 +185,19 @@
         Ok(Arc::new(Self { holder, stop, connections, settings, timeline, logger }))
     }
 
-    /// Says whether callers may be sent here: routes are known, and no stop has begun.
+    /// Returns whether the entry is ready for callers: it has routes and is not stopping.
     pub fn is_ready(&self) -> bool {
         self.holder.forwarder.routes.borrow().is_some() && *self.stop.borrow() == StopStage::Serving
     }
 
-    /// Returns the view of this entry.
+    /// Returns the current view of this entry.
     pub fn view(&self) -> Arc<ClusterView> {
         self.holder.view()
     }
 
-    /// Stops without cutting off a request: leaves the directory, closes each connection behind
-    /// its next answer, then the idle ones. Returns whether all requests in flight finished.
+    /// Stops gracefully: leaves the directory, closes each connection after its next response, and
+    /// then closes idle connections. Returns whether all requests in flight finished within
+    /// [`GatewaySettings::stop_grace`].
     pub async fn stop(&self) -> bool {
         self.timeline.record(EventKind::StopBegun, EventTags::default(), String::new());
         self.holder.info.write().serving = false;
@@ -200,8 +207,8 @@
         let deadline = Instant::now() + self.settings.stop_grace;
         while self.connections.load(Ordering::Acquire) > 0 {
             if Instant::now() >= deadline {
-                let left = self.connections.load(Ordering::Acquire);
-                info!(self.logger, "connections cut off"; "count" => left);
+                let open_count = self.connections.load(Ordering::Acquire);
+                info!(self.logger, "connections still open at the end of the stop grace period"; "count" => open_count);
                 return false;
             }
             sleep(DRAIN_CHECK_PERIOD).await;
--- a/crates/gateway/src/placer.rs
+++ b/crates/gateway/src/placer.rs
@@ -1,4 +1,4 @@
-//! Finds a server for a request: asks a few for their load and takes the best.
+//! Places requests: probes a few servers for their load and takes the best one.
 
 use crate::{
     WireDialect,
@@ -23,68 +23,73 @@
 };
 use types::{ClusterView, DomainName, EntryName, PoolSpec, ServerName};
 
-/// Servers asked at the same time.
+/// Number of servers that are probed concurrently.
 const PROBE_GROUP_SIZE: usize = 3;
-/// Servers asked for one request in all.
+/// Maximum number of servers that are probed in one search.
 const MAX_PROBES: usize = 9;
-/// Time allowed for a probe, the opening of a connection included. Servers answer probes at once;
-/// a lost packet alone costs more than this.
+/// Timeout of a probe, including connection setup. Servers respond to probes immediately; the loss
+/// of a single packet costs more than this.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(120);
-/// Time after which the next group is asked although the one before has not answered. Answers to
-/// probes take up to 10 ms with the connection's opening.
+/// Time after which the next group is probed even if the previous one has not responded. Responses
+/// to probes take up to 10 ms, including connection setup.
 const GROUP_TIMEOUT: Duration = Duration::from_millis(25);
-/// Age above which a report of load is too old to act on; load shifts within milliseconds.
+/// Maximum age of a load report that a placement uses. Load changes within milliseconds.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(15);
 
-/// Servers of one service and one side of the failure domain's border that an entry asks before
-/// others. Enough to find one with room, few enough to keep connections to.
+/// Number of servers of a service that an entry prefers, counted separately inside and outside of its
+/// failure domain. Enough to find one with free capacity, and few enough to keep connections to.
 const PREFERRED_SERVERS: usize = 12;
+/// Failure share above which a server is probed after others.
+const MAX_FAILURE_SHARE: f64 = 0.3;
 
-/// The order in which servers are asked, lowest first.
+/// The order in which servers are probed, lowest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ServerRank {
-    /// It did not answer lately.
+    /// The server is in backoff after failed probes.
     is_backing_off: bool,
-    /// It is cold, and other entries may use it.
+    /// The server is cold and left to other entries for now: this entry is not among its owners, or
+    /// has used up its share of the rate.
     is_cold: bool,
-    /// It failed many of the entry's last requests.
+    /// The server failed more than [`MAX_FAILURE_SHARE`] of this entry's recent requests.
     is_failing: bool,
-    /// It was full a moment ago.
+    /// The server was full a moment ago.
     is_full: bool,
-    /// It is in another failure domain.
+    /// The server is in another failure domain.
     is_remote: bool,
-    /// The entry seldom uses it.
+    /// The server is not among this entry's [`PREFERRED_SERVERS`].
     is_not_preferred: bool,
 }
 
-/// A server that has just answered a probe, with the connection on which it did.
+/// A server that has just responded to a probe, with the connection that it responded on.
 pub(crate) struct ProbedServer {
     pub(crate) server: Arc<BackendServer>,
     pub(crate) connection: ServerConnection,
     pub(crate) candidate: PlacementCandidate,
-    pub(crate) probed: Instant,
+    /// When the response to the probe arrived.
+    pub(crate) probed_at: Instant,
 }
 
-/// Why no server was found.
+/// The reason why no server was found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlaceError {
-    /// The service has no server that may get work.
+    /// The service has no server that may receive the request.
     NoServers,
-    /// No server answered.
+    /// No server responded to a probe.
     NoneAnswered,
-    /// All servers that answered are full, or cold without room.
+    /// All servers that responded are full, or cold without capacity left for this entry.
     Full,
 }
 
-/// What a request needs of its server.
+/// The requirements of a request on its server.
 pub(crate) struct PlaceRequest<'a> {
     pub(crate) view: &'a ClusterView,
     pub(crate) pool: &'a PoolSpec,
     pub(crate) need: PlacementNeed,
+    /// Servers that the request was already sent to.
     pub(crate) excluded: &'a [ServerName],
 }
 
-/// Places requests of one entry.
+/// Selects servers for the requests of one entry.
 pub(crate) struct ServerPlacer {
     pub(crate) entry: EntryName,
     pub(crate) domain: DomainName,
@@ -94,10 +99,10 @@
 }
 
 impl ServerPlacer {
-    /// Returns a server for a request, and how many were asked.
+    /// Returns a server for a request, and the number of servers that were probed.
     ///
-    /// Servers are asked in groups. The next group follows when the one before has answered, or
-    /// takes longer than answers usually do; a server that is good enough ends the search.
+    /// Servers are probed in groups. The next group follows when the previous one has responded, or
+    /// after [`GROUP_TIMEOUT`]. A server that is good enough ends the search.
     pub(crate) async fn place(
         &self,
         request: &PlaceRequest<'_>,
@@ -111,8 +116,8 @@
             search.probe_count += group.len();
             search.probes.extend(group.iter().map(|server| self.start_probe(server, request)));
             let has_good_enough = self.collect(&mut search, request, Some(GROUP_TIMEOUT)).await;
-            let is_done = has_good_enough || self.has_acceptable(&search, request);
-            if is_done && let Some(probed) = self.take_best(&mut search, request).await {
+            let may_stop = has_good_enough || self.has_acceptable(&search, request);
+            if may_stop && let Some(probed) = self.take_best(&mut search, request).await {
                 let probe_count = search.probe_count;
                 search.release();
                 return Ok((probed, probe_count));
@@ -120,7 +125,8 @@
         }
     }
 
-    /// Takes the best of all that answer, once all were asked.
+    /// Takes the best server once all have been probed. Waits for a usable response if none has
+    /// arrived yet.
     async fn finish(
         &self,
         mut search: PlaceSearch,
@@ -139,8 +145,9 @@
         }
     }
 
-    /// Takes in answers until one is good enough, all have come, or the time is up. Returns whether
-    /// one is good enough.
+    /// Collects responses to probes until one is good enough, all have arrived, or `wait` has
+    /// passed. Without `wait`, stops at the first usable response or after [`PROBE_TIMEOUT`].
+    /// Returns whether one is good enough.
     async fn collect(
         &self,
         search: &mut PlaceSearch,
@@ -173,7 +180,8 @@
         search.answered.iter().any(is_acceptable)
     }
 
-    /// Takes the cheapest server that has room. One that answered some time ago is asked again.
+    /// Takes the cheapest server that has free capacity. A server whose load report is older than
+    /// [`MAX_REPORT_AGE`] is probed again first.
     async fn take_best(
         &self,
         search: &mut PlaceSearch,
@@ -184,7 +192,7 @@
                 search.answered.iter().map(|probed| probed.candidate).collect();
             let index = cheapest_candidate(&candidates, &request.need)?;
             let chosen = search.answered.swap_remove(index);
-            if chosen.probed.elapsed() > MAX_REPORT_AGE {
+            if chosen.probed_at.elapsed() > MAX_REPORT_AGE {
                 if let Some(fresh) = self.probe_again(chosen, request).await {
                     search.answered.push(fresh);
                 }
@@ -205,13 +213,18 @@
         request: &PlaceRequest<'_>,
     ) -> Option<ProbedServer> {
         let probe = self.probe(&stale.server, request);
-        let probe_count = timeout(GROUP_TIMEOUT, probe.send_on(stale.connection)).await;
-        let ProbeAnswer { connection, candidate, .. } = probe_count.ok().flatten()?;
-        Some(ProbedServer { server: stale.server, connection, candidate, probed: Instant::now() })
+        let answer = timeout(GROUP_TIMEOUT, probe.send_on(stale.connection)).await;
+        let ProbeAnswer { connection, candidate, .. } = answer.ok().flatten()?;
+        Some(ProbedServer {
+            server: stale.server,
+            connection,
+            candidate,
+            probed_at: Instant::now(),
+        })
     }
 
-    /// Returns the servers to ask, in groups: those of the own failure domain first, those that
-    /// did not answer lately last.
+    /// Returns the servers to probe, in groups and in the order of [`ServerRank`]. A group does not
+    /// mix servers of the own failure domain with others.
     fn groups(
         &self,
         request: &PlaceRequest<'_>,
@@ -227,7 +240,7 @@
             let rank = ServerRank {
                 is_backing_off: server.is_backing_off(now),
                 is_cold: server.is_known_cold(now) && !self.may_use_cold(server, request),
-                is_failing: server.failure_share(now) > 0.3,
+                is_failing: server.failure_share(now) > MAX_FAILURE_SHARE,
                 is_full: server.is_recently_full(now),
                 is_remote,
                 is_not_preferred: *count > PREFERRED_SERVERS,
@@ -241,8 +254,8 @@
         ranked.sort_by_key(|(rank, _)| *rank);
         let usable =
             ranked.iter().filter(|(rank, _)| !rank.is_backing_off && !rank.is_cold).count();
-        // Servers that do not answer, or are cold for others to use, are asked only where too few
-        // others are left.
+        // Servers that are in backoff, or cold and left to other entries, are probed only if there
+        // are fewer than PROBE_GROUP_SIZE others.
         ranked.truncate(usable.clamp(PROBE_GROUP_SIZE, MAX_PROBES));
         let eligible = ranked.into_iter().map(|(_, server)| server);
         let mut groups: Vec<SmallVec<[Arc<BackendServer>; 4]>> = Vec::new();
@@ -260,6 +273,7 @@
         Ok(groups)
     }
 
+    /// Returns whether this entry may send a request to a server if that server is cold.
     fn may_use_cold(&self, server: &BackendServer, request: &PlaceRequest<'_>) -> bool {
         let entries = request.view.entries().filter(|entry| entry.serving).map(|e| &e.name);
         server.has_cold_capacity(Instant::now())
@@ -295,7 +309,8 @@
 }
 
 impl PlaceSearch {
-    /// Gives all connections back, those of probes that are still on their way when they end.
+    /// Returns all connections to the idle pools. Those of probes in flight follow when the probes
+    /// end.
     fn release(mut self) {
         self.answered.into_iter().for_each(release);
         tokio::spawn(async move {
@@ -308,18 +323,19 @@
     }
 }
 
-/// Gives the connection of a server that was not chosen back.
+/// Returns the connection of a server that was not chosen to its idle pool.
 fn release(probed: ProbedServer) {
     probed.server.put_connection(probed.connection);
 }
 
-/// What a server answered.
+/// The response to a probe.
 struct ProbeAnswer {
     connection: ServerConnection,
     candidate: PlacementCandidate,
     warm_up_left: Duration,
 }
 
+/// A probe of one server.
 struct ServerProbe {
     server: Arc<BackendServer>,
     path: Arc<str>,
@@ -337,10 +353,10 @@
         let ProbeAnswer { connection, candidate, warm_up_left } = probed?;
         self.server.record_load(now, candidate.load.is_full());
         self.server.record_warm_up(now, warm_up_left);
-        Some(ProbedServer { server: self.server, connection, candidate, probed: now })
+        Some(ProbedServer { server: self.server, connection, candidate, probed_at: now })
     }
 
-    /// Asks on an idle connection, or on a fresh one where that has gone.
+    /// Sends the probe on an idle connection, or on a new one if there is none or it fails.
     async fn send(&self) -> Option<ProbeAnswer> {
         if let Some(connection) = self.server.take_connection(Instant::now())
             && let Some(answer) = self.send_on(connection).await
@@ -358,7 +374,7 @@
             .ok()?;
         let answer = connection.exchange(request, &self.memory).await.ok()?;
         let metadata = self.dialect.answer_signs(&answer.headers);
-        // Another server's answer, or a late one to an earlier request, says nothing.
+        // Ignores responses of another server and late responses to an earlier request.
         if !answer.is_kept || metadata.server.as_deref() != Some(self.server.name.as_str()) {
             return None;
         }
--- a/crates/gateway/src/server_connection.rs
+++ b/crates/gateway/src/server_connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to a server, used for one request at a time.
+//! An HTTP/1.1 connection to a server, used for one request at a time.
 
 use crate::body::{BodyMemory, read_whole};
 use bytes::Bytes;
@@ -15,35 +15,37 @@
 use thiserror::Error;
 use tokio::{net::TcpStream, task::AbortHandle, time::timeout};
 
-/// The greatest answer body in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
-/// Time for which a server is assumed to keep an idle connection when it does not say.
+/// Keep-alive time that is assumed if the server does not state one.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(10);
-/// Unacknowledged data older than this ends a connection.
-const USER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Fraction of the keep-alive time for which an idle connection is reused.
+const KEEP_ALIVE_SHARE: f64 = 0.9;
+/// `TCP_USER_TIMEOUT`: a connection fails if sent data stays unacknowledged for longer.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Says how far a request came that got no answer.
+/// The reason why a request got no response.
 #[derive(Debug, Error)]
 pub(crate) enum ExchangeError {
-    /// No byte of it has left.
+    /// No byte of the request was sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The server may have it.
+    /// The server may have received the request.
     #[error("broken off: {0}")]
     MaybeSent(String),
 }
 
-/// A whole answer of a server.
+/// A complete response from a server.
 #[derive(Debug)]
 pub(crate) struct ServerAnswer {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The server keeps the connection open behind the answer.
+    /// Whether the server keeps the connection open after the response.
     pub(crate) is_kept: bool,
 }
 
-/// A connection. Dropping it closes it, which cancels a request in flight.
+/// A connection to a server. Dropping it closes it, which cancels a request in flight.
 pub(crate) struct ServerConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
@@ -58,7 +60,7 @@
 }
 
 impl ServerConnection {
-    /// Opens a connection.
+    /// Opens a connection. The TCP connect must succeed within `limit`.
     pub(crate) async fn open(address: SocketAddr, limit: Duration) -> Result<Self, ExchangeError> {
         let not_sent = |reason: String| ExchangeError::NotSent(reason);
         let stream = timeout(limit, TcpStream::connect(address))
@@ -67,24 +69,24 @@
             .map_err(|error| not_sent(error.to_string()))?;
         stream.set_nodelay(true).map_err(|error| not_sent(error.to_string()))?;
         SockRef::from(&stream)
-            .set_tcp_user_timeout(Some(USER_TIMEOUT))
+            .set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
             .map_err(|error| not_sent(error.to_string()))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|error| not_sent(error.to_string()))?;
-        // The requester learns of a broken connection from its own request.
+        // Errors of the connection are reported by the request in flight.
         let driver = tokio::spawn(async move { drop(connection.await) }).abort_handle();
         Ok(Self { sender, driver, keep_alive: DEFAULT_KEEP_ALIVE, used: Instant::now() })
     }
 
-    /// Says whether the connection may be used once more. A probe goes first, so that a close by
-    /// the server meets that and not a request.
+    /// Returns whether the idle connection may be reused. A probe is always sent on it before a
+    /// request, so that a close by the server makes a probe fail and not a request.
     pub(crate) fn is_usable(&self, now: Instant) -> bool {
         let idle = now.saturating_duration_since(self.used);
-        !self.sender.is_closed() && idle < self.keep_alive.mul_f64(0.9)
+        !self.sender.is_closed() && idle < self.keep_alive.mul_f64(KEEP_ALIVE_SHARE)
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads the complete response.
     pub(crate) async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -96,9 +98,9 @@
         let response = match self.sender.try_send_request(request).await {
             Ok(response) => response,
             Err(mut failure) => {
-                let is_kept = failure.take_message().is_some();
+                let is_unsent = failure.take_message().is_some();
                 let reason = failure.into_error().to_string();
-                return Err(if is_kept {
+                return Err(if is_unsent {
                     ExchangeError::NotSent(reason)
                 } else {
                     ExchangeError::MaybeSent(reason)
@@ -113,18 +115,19 @@
         if let Some(keep_alive) = stated_keep_alive(&parts.headers) {
             self.keep_alive = keep_alive;
         }
-        let is_kept = !says_close(&parts.headers) && !self.sender.is_closed();
+        let is_kept = !has_close(&parts.headers) && !self.sender.is_closed();
         Ok(ServerAnswer { status: parts.status, headers: parts.headers, body, is_kept })
     }
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+/// Returns whether `Connection` contains the token `close`.
+fn has_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION);
     let mut texts = values.iter().filter_map(|value| value.to_str().ok());
     texts.any(|text| text.split(',').any(|part| part.trim().eq_ignore_ascii_case("close")))
 }
 
-/// Reads `Keep-Alive: timeout=SECONDS`.
+/// Parses `Keep-Alive: timeout=SECONDS`.
 fn stated_keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let mut parts = text.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
--- a/crates/gateway/src/server_search.rs
+++ b/crates/gateway/src/server_search.rs
@@ -1,4 +1,4 @@
-//! Finding a server for a request: who waits in line, and until when.
+//! Finds a server for a request and queues the request while all servers are full.
 
 use crate::{
     call::ForwardedCall,
@@ -10,19 +10,20 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout_at};
 
-/// Pause before full servers are asked again.
+/// Delay before servers are probed again after all were full.
 const REPROBE_DELAY: Duration = Duration::from_millis(20);
-/// Requests that may wait in the line of one service.
+/// Maximum number of requests in the queue of one service.
 const MAX_QUEUED: usize = 256;
-/// Part of the target latency for which a request waits that can no longer meet it, or that no
-/// server answers. After that a refusal serves the caller better: it knows when to come back.
+/// Fraction of the target latency for which a request waits if it can no longer meet the target, or
+/// if no server is available or responds. After that, a refusal helps the caller more, as it states
+/// when to retry.
 const MIN_WAIT_SHARE: f64 = 0.12;
-/// The greatest part of the target latency for which a request waits for room.
+/// Maximum fraction of the target latency for which a request waits for free capacity.
 const MAX_WAIT_SHARE: f64 = 0.5;
 
 impl RequestForwarder {
-    /// Finds a server with room. While all are full, requests wait in line, those that can still
-    /// meet their target first, as long as there is time to run them.
+    /// Finds a server with free capacity. While all are full, requests wait in a queue for as long as
+    /// there is time to run them. Requests that can still meet their target latency go first.
     pub(crate) async fn find_server(
         &self,
         call: &ForwardedCall,
@@ -44,7 +45,7 @@
                 if let Some(position) = &position
                     && timeout_at(
                         call.next_rank_change(now, usual_work, give_up_at).into(),
-                        position.turn(),
+                        position.wait_until_first(),
                     )
                     .await
                     .is_err()
@@ -78,18 +79,19 @@
         }
     }
 
-    /// Returns when a request that finds no room is refused: as long as it can meet its target, it
-    /// waits, but not for longer than a part of that.
+    /// Returns when a request that finds no free capacity is refused. It waits while it can still
+    /// meet the target latency, but at least [`MIN_WAIT_SHARE`] and at most [`MAX_WAIT_SHARE`] of
+    /// the target, and never so long that it could not finish by its deadline.
     fn wait_deadline(&self, call: &ForwardedCall, now: Instant) -> Instant {
         let target = call.route.target();
         let usual_work = self.usual_work(call);
-        let at_least = now + target.mul_f64(MIN_WAIT_SHARE);
-        let at_most = now + target.mul_f64(MAX_WAIT_SHARE);
-        let latest_start = call.request.deadline - usual_work;
-        call.latest_start(usual_work).clamp(at_least, at_most).min(latest_start)
+        let earliest = now + target.mul_f64(MIN_WAIT_SHARE);
+        let latest = now + target.mul_f64(MAX_WAIT_SHARE);
+        let deadline = call.request.deadline - usual_work;
+        call.latest_start(usual_work).clamp(earliest, latest).min(deadline)
     }
 
-    /// Asks servers once.
+    /// Probes servers once and takes the best one.
     async fn probe_servers(
         &self,
         call: &ForwardedCall,
@@ -99,7 +101,7 @@
         let request = PlaceRequest {
             view: &call.view,
             pool: &call.pool,
-            need: self.need(call, is_late),
+            need: self.placement_need(call, is_late),
             excluded: &tried,
         };
         let (probed, probe_count) = self.placer.place(&request).await?;
@@ -107,7 +109,8 @@
         Ok(probed)
     }
 
-    fn need(&self, call: &ForwardedCall, is_late: bool) -> PlacementNeed {
+    /// Returns the requirements on a server. A late request takes no server's last free slot.
+    fn placement_need(&self, call: &ForwardedCall, is_late: bool) -> PlacementNeed {
         let (usual_work, target) = (self.usual_work(call), call.route.target());
         if is_late {
             return PlacementNeed { usual_work, target, room: RoomNeed::SpareSlot };
@@ -116,6 +119,7 @@
         PlacementNeed::within(usual_work, target, left)
     }
 
+    /// Returns the estimated median duration of the work for a request.
     pub(crate) fn usual_work(&self, call: &ForwardedCall) -> Duration {
         self.with_service(&call.pool.service, |state| state.usual_work)
             .map_or_else(|| initial_work_estimate(&call.route), |usual| usual.get())
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -1,4 +1,5 @@
-//! What this entry knows of each backend server: idle connections, recent failures, cold share.
+//! The state that an entry keeps for each backend server: idle connections, probe backoff, recent
+//! failures, and its share of a cold server's rate.
 
 use crate::server_connection::ServerConnection;
 use parking_lot::{Mutex, RwLock};
@@ -16,19 +17,23 @@
     ServiceName,
 };
 
-/// Idle connections kept for one server.
+/// Maximum number of idle connections to one server.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// First pause after a server did not answer a probe; doubles at each further one.
+/// Backoff after the first failed probe of a server; doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(150);
-/// Longest pause after a server did not answer a probe.
+/// Maximum backoff after a failed probe.
 const MAX_BACKOFF: Duration = Duration::from_millis(2_500);
-/// Time for which a server that is full is asked after others; a slot is held for longer.
+/// Maximum number of times that the backoff doubles, so that it cannot overflow.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+/// Time for which a server that reported that it is full is probed after others. Requests hold a
+/// slot for longer than this.
 const FULL_REPORT_TTL: Duration = Duration::from_millis(40);
-/// Weight of the latest outcome in the share of failures.
+/// Weight of the latest outcome in the moving average of failures.
 const OUTCOME_WEIGHT: f64 = 0.4;
-/// Time in which a remembered failure loses half of its weight.
+/// Half-life of the failure share while no outcomes are recorded.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
 
+/// Mutable state of a backend server.
 #[derive(Default)]
 struct TrackedState {
     idle: SmallVec<[ServerConnection; 2]>,
@@ -41,7 +46,7 @@
     cold: ColdAllowance,
 }
 
-/// One start of a backend server.
+/// One incarnation of a backend server.
 pub(crate) struct BackendServer {
     pub(crate) name: ServerName,
     pub(crate) domain: DomainName,
@@ -63,14 +68,14 @@
         }
     }
 
-    /// Takes the idle connection that was used last.
+    /// Takes the most recently used idle connection.
     pub(crate) fn take_connection(&self, now: Instant) -> Option<ServerConnection> {
         let mut state = self.state.lock();
         state.idle.retain(|connection| connection.is_usable(now));
         state.idle.pop()
     }
 
-    /// Gives a connection back that is ready for another request.
+    /// Returns a connection that is ready for another request to the pool of idle connections.
     pub(crate) fn put_connection(&self, connection: ServerConnection) {
         let mut state = self.state.lock();
         if state.idle.len() >= MAX_IDLE_CONNECTIONS {
@@ -79,35 +84,36 @@
         state.idle.push(connection);
     }
 
-    /// Says whether the server did not answer lately and is left alone for a while.
+    /// Returns whether the server is in backoff after failed probes.
     pub(crate) fn is_backing_off(&self, now: Instant) -> bool {
         self.state.lock().backoff_until.is_some_and(|until| now < until)
     }
 
-    /// Notes whether the server answered a probe.
+    /// Records whether the server responded to a probe.
     pub(crate) fn record_probe(&self, now: Instant, has_answered: bool) {
         let mut state = self.state.lock();
         if has_answered {
             (state.backoff_until, state.missed_probes) = (None, 0);
             return;
         }
-        let pause = (INITIAL_BACKOFF * 2_u32.pow(state.missed_probes.min(6))).min(MAX_BACKOFF);
+        let backoff = (INITIAL_BACKOFF * 2_u32.pow(state.missed_probes.min(MAX_BACKOFF_DOUBLINGS)))
+            .min(MAX_BACKOFF);
         state.missed_probes += 1;
-        state.backoff_until = Some(now + pause);
+        state.backoff_until = Some(now + backoff);
     }
 
-    /// Notes whether the server reported that it is full.
+    /// Records whether the server reported that it is full.
     pub(crate) fn record_load(&self, now: Instant, is_full: bool) {
         self.state.lock().full_at = is_full.then_some(now);
     }
 
-    /// Says whether the server reported a moment ago that it is full.
+    /// Returns whether the server reported within [`FULL_REPORT_TTL`] that it is full.
     pub(crate) fn is_recently_full(&self, now: Instant) -> bool {
         let full_at = self.state.lock().full_at;
         full_at.is_some_and(|full_at| now.saturating_duration_since(full_at) < FULL_REPORT_TTL)
     }
 
-    /// Notes whether the server handled a request.
+    /// Records the outcome of a request at the server.
     pub(crate) fn record_outcome(&self, now: Instant, has_failed: bool) {
         let mut state = self.state.lock();
         let previous = state.failure_share_at(now);
@@ -116,27 +122,28 @@
         state.failure_updated = Some(now);
     }
 
-    /// Returns the share of recent requests that failed, 0 to 1.
+    /// Returns the moving average of failed requests, from 0 to 1.
     pub(crate) fn failure_share(&self, now: Instant) -> f64 {
         self.state.lock().failure_share_at(now)
     }
 
-    /// Notes how much longer the server is cold.
+    /// Records the time left until the server is warm.
     pub(crate) fn record_warm_up(&self, now: Instant, left: Duration) {
         self.state.lock().cold_until = (!left.is_zero()).then(|| now + left);
     }
 
-    /// Says whether the server is still cold by its own last account.
+    /// Returns whether the server is still cold according to its last report.
     pub(crate) fn is_known_cold(&self, now: Instant) -> bool {
         self.state.lock().cold_until.is_some_and(|until| now < until)
     }
 
-    /// Says whether this entry's share of the cold server's rate has room.
+    /// Returns whether this entry's share of the cold server's rate permits a request now.
     pub(crate) fn has_cold_capacity(&self, now: Instant) -> bool {
         self.state.lock().cold.has_room(now)
     }
 
-    /// Takes one request from this entry's share of the cold server's rate.
+    /// Takes one request from this entry's share of the cold server's rate, in requests per 1000 s.
+    /// Returns whether the share permits it.
     pub(crate) fn take_cold_request(&self, now: Instant, rate_milli: u32) -> bool {
         self.state.lock().cold.take(now, rate_milli)
     }
@@ -153,35 +160,36 @@
     }
 }
 
-/// The servers of each service that may get new work.
+/// The servers of one service that may receive new requests.
 pub(crate) type ServerList = Arc<[Arc<BackendServer>]>;
 
-/// All servers that may get new work, by service; in each list those first that this entry prefers,
-/// so that it keeps connections to few of many servers.
+/// All servers that may receive new requests, by service. Each list starts with the servers that this
+/// entry prefers by rendezvous hashing, so that it keeps connections to only some of many servers.
 pub(crate) struct ServerTable {
     entry: EntryName,
     services: RwLock<HashMap<ServiceName, ServerList>>,
 }
 
 impl ServerTable {
-    /// Returns an empty table of an entry.
+    /// Returns an empty table for an entry.
     pub(crate) fn new(entry: EntryName) -> Self {
         Self { entry, services: RwLock::default() }
     }
 
-    /// Returns the servers of a service that may get new work.
+    /// Returns the servers of a service that may receive new requests.
     pub(crate) fn servers(&self, service: &ServiceName) -> ServerList {
         self.services.read().get(service).cloned().unwrap_or_default()
     }
 
-    /// Says whether a server may still get new work.
+    /// Returns whether a server may still receive new requests.
     pub(crate) fn is_listed(&self, service: &ServiceName, server: &BackendServer) -> bool {
         let services = self.services.read();
         let list = services.get(service);
         list.is_some_and(|list| list.iter().any(|listed| listed.is_same_instance(server)))
     }
 
-    /// Takes over the servers of a new view. What is known of those that stay is kept.
+    /// Installs the servers of a new view. Servers whose incarnation and address are unchanged keep
+    /// their state.
     pub(crate) fn install(&self, view: &ClusterView) {
         let mut previous: HashMap<ServerName, Arc<BackendServer>> = HashMap::new();
         for list in self.services.read().values() {
--- a/crates/gateway/src/service_queue.rs
+++ b/crates/gateway/src/service_queue.rs
@@ -1,56 +1,56 @@
-//! Requests of one service that wait for a server with room.
+//! The queue of requests of one service that wait for a server with free capacity.
 
 use parking_lot::Mutex;
 use policy::{WaitRank, WaitTicket, WaitingLine};
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// The line of one service.
+/// The wait queue of one service, ordered by rank.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceQueue {
-    queue: Mutex<WaitingLine<Arc<Notify>>>,
+    requests: Mutex<WaitingLine<Arc<Notify>>>,
 }
 
-/// A place in the line, given up when dropped.
+/// A position in the queue. Dropping it leaves the queue and wakes the request that is then first.
 pub(crate) struct QueuePosition {
     queue: Arc<ServiceQueue>,
     ticket: WaitTicket,
-    turn: Arc<Notify>,
+    wakeup: Arc<Notify>,
 }
 
 impl ServiceQueue {
-    /// Says whether a request of this rank need not wait for others.
+    /// Returns whether a request of this rank would be first in the queue.
     pub(crate) fn would_lead(&self, rank: &WaitRank) -> bool {
-        self.queue.lock().would_lead(rank)
+        self.requests.lock().would_lead(rank)
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub(crate) fn len(&self) -> usize {
-        self.queue.lock().len()
+        self.requests.lock().len()
     }
 
-    /// Joins the line.
+    /// Adds a request to the queue.
     pub(crate) fn join(self: &Arc<Self>, rank: WaitRank) -> QueuePosition {
-        let turn = Arc::new(Notify::new());
-        let ticket = self.queue.lock().join(rank, turn.clone());
-        QueuePosition { queue: self.clone(), ticket, turn }
+        let wakeup = Arc::new(Notify::new());
+        let ticket = self.requests.lock().join(rank, wakeup.clone());
+        QueuePosition { queue: self.clone(), ticket, wakeup }
     }
 }
 
 impl QueuePosition {
-    /// Waits until the request is the first in line.
-    pub(crate) async fn turn(&self) {
-        while !self.queue.queue.lock().is_first(self.ticket) {
-            self.turn.notified().await;
+    /// Waits until the request is first in the queue.
+    pub(crate) async fn wait_until_first(&self) {
+        while !self.queue.requests.lock().is_first(self.ticket) {
+            self.wakeup.notified().await;
         }
     }
 }
 
 impl Drop for QueuePosition {
     fn drop(&mut self) {
-        let mut queue = self.queue.queue.lock();
-        queue.leave(self.ticket);
-        if let Some(next) = queue.first() {
+        let mut requests = self.queue.requests.lock();
+        requests.leave(self.ticket);
+        if let Some(next) = requests.first() {
             next.notify_one();
         }
     }
