--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -47,14 +47,14 @@
 
 /// Removes the hop-by-hop fields, including those that `Connection` lists.
 pub(crate) fn remove_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_HEADERS) {
+    for name in listed.iter().chain(&HOP_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -65,7 +65,7 @@
 }
 
 /// Reads a complete body of at most `limit` bytes.
-pub(crate) async fn read_whole(
+pub(crate) async fn read_body(
     mut body: Incoming,
     limit: u64,
     memory: &Arc<BodyMemory>,
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -26,8 +26,8 @@
 
 /// Maximum number of requests of one connection that run concurrently.
 const MAX_PIPELINED: usize = 16;
-/// Maximum number of bytes that are read ahead while requests run, in order to detect that the caller
-/// has closed the connection.
+/// Maximum number of bytes that are read ahead while requests run, in order to detect that the
+/// caller has closed the connection.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 /// How long a connection is still read from after this side has closed it. Dropping it with unread
 /// bytes would reset it, and the caller might lose the last response.
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Serves the connection until either side closes it. Idempotent requests are cancelled when the
-    /// caller disconnects.
+    /// Serves the connection until either side closes it. Idempotent requests are cancelled when
+    /// the caller disconnects.
     pub(crate) async fn run(mut self) {
         // I/O errors need no handling: a caller whose connection fails retries.
         if let Ok(true) = self.serve().await {
@@ -194,10 +194,11 @@
         let Some(mut partial) = self.partial.take() else {
             return Ok(None);
         };
-        let before = partial.body.collected();
+        let before = partial.body.decoded_bytes();
         match partial.body.decode(&mut self.buffer) {
             Ok(is_complete) => {
-                if let Err(error) = partial.reservation.grow(partial.body.collected() - before) {
+                if let Err(error) = partial.reservation.grow(partial.body.decoded_bytes() - before)
+                {
                     let error: BodyError = error;
                     self.refuse(StatusCode::SERVICE_UNAVAILABLE, &error.to_string());
                     return Ok(None);
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -235,7 +235,8 @@
         last.ok_or(PlaceError::NoServers)
     }
 
-    /// Returns whether a request may be sent again after `last`, and takes the retry from the budget.
+    /// Returns whether a request may be sent again after `last`, and takes the retry from the
+    /// budget.
     fn may_retry(&self, call: &ForwardedCall, last: Option<&AttemptOutcome>) -> bool {
         let now = Instant::now();
         let is_safe = match last {
@@ -259,7 +260,8 @@
     }
 
     /// Runs one attempt. If it takes long and the request is idempotent, hedges it with a second
-    /// attempt at another server. The attempt that loses is dropped, which cancels it at its server.
+    /// attempt at another server. The attempt that loses is dropped, which cancels it at its
+    /// server.
     async fn run_hedged(&self, call: &ForwardedCall, probed: ProbedServer) -> AttemptOutcome {
         let first = pin!(self.try_server(call, probed));
         if !call.route.is_idempotent {
@@ -331,8 +333,8 @@
         outcome
     }
 
-    /// Updates the estimate of the service's work time. `observed` is scaled to the usual speed of the
-    /// server.
+    /// Updates the estimate of the service's work time. `observed` is scaled to the usual speed of
+    /// the server.
     fn record_work(&self, call: &ForwardedCall, observed: Duration) {
         self.with_service(&call.pool.service, |state| {
             let usual = UsualWork::new(initial_work_estimate(&call.route));
@@ -354,8 +356,8 @@
         answer
     }
 
-    /// Records the timeout that a caller states, and returns the estimated time that the caller spent
-    /// on earlier attempts.
+    /// Records the timeout that a caller states, and returns the estimated time that the caller
+    /// spent on earlier attempts.
     fn record_caller_timeout(
         &self,
         route: &RouteSpec,
--- a/crates/gateway/src/http1/answer_bytes.rs
+++ b/crates/gateway/src/http1/answer_bytes.rs
@@ -7,8 +7,8 @@
 /// Interim response that tells a caller to send the body of its request.
 pub(crate) const CONTINUE_LINE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Encodes a response. It gets a `Content-Length`, except for HEAD requests and for statuses without
-/// a body; `is_last` adds `Connection: close`.
+/// Encodes a response. It gets a `Content-Length`, except for HEAD requests and for statuses
+/// without a body; `is_last` adds `Connection: close`.
 pub(crate) fn encode_answer(answer: &GatewayAnswer, method: &Method, is_last: bool) -> BytesMut {
     let mut bytes = BytesMut::with_capacity(256 + answer.body.len());
     bytes.put_slice(b"HTTP/1.1 ");
--- a/crates/gateway/src/http1/body_decoder.rs
+++ b/crates/gateway/src/http1/body_decoder.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the number of bytes decoded so far.
-    pub(crate) fn collected(&self) -> u64 {
+    pub(crate) fn decoded_bytes(&self) -> u64 {
         self.body.len() as u64
     }
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -41,8 +41,8 @@
     pub first_routes: FirstRoutesTerms,
     /// Maximum number of bytes of all bodies that the entry buffers.
     pub body_memory_bytes: u64,
-    /// How long a stopping entry still accepts connections, for callers that have not learned of the
-    /// stop yet.
+    /// How long a stopping entry still accepts connections, for callers that have not learned of
+    /// the stop yet.
     pub farewell: Duration,
     /// How long a stopping entry then waits for requests in flight.
     pub stop_grace: Duration,
@@ -208,7 +208,8 @@
         while self.connections.load(Ordering::Acquire) > 0 {
             if Instant::now() >= deadline {
                 let open_count = self.connections.load(Ordering::Acquire);
-                info!(self.logger, "connections still open at the end of the stop grace period"; "count" => open_count);
+                info!(self.logger, "connections still open at the end of the stop grace period";
+                    "count" => open_count);
                 return false;
             }
             sleep(DRAIN_CHECK_PERIOD).await;
--- a/crates/gateway/src/placer.rs
+++ b/crates/gateway/src/placer.rs
@@ -36,8 +36,9 @@
 /// Maximum age of a load report that a placement uses. Load changes within milliseconds.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(15);
 
-/// Number of servers of a service that an entry prefers, counted separately inside and outside of its
-/// failure domain. Enough to find one with free capacity, and few enough to keep connections to.
+/// Number of servers of a service that an entry prefers, counted separately inside and outside of
+/// its failure domain. Enough to find one with free capacity, and few enough to keep connections
+/// to.
 const PREFERRED_SERVERS: usize = 12;
 /// Failure share above which a server is probed after others.
 const MAX_FAILURE_SHARE: f64 = 0.3;
--- a/crates/gateway/src/server_connection.rs
+++ b/crates/gateway/src/server_connection.rs
@@ -1,6 +1,6 @@
 //! An HTTP/1.1 connection to a server, used for one request at a time.
 
-use crate::body::{BodyMemory, read_whole};
+use crate::body::{BodyMemory, read_body};
 use bytes::Bytes;
 use http::{HeaderMap, Request, StatusCode, header};
 use http_body_util::Full;
@@ -108,7 +108,7 @@
             }
         };
         let (parts, body) = response.into_parts();
-        let (body, _held) = read_whole(body, MAX_ANSWER_BYTES, memory)
+        let (body, _held) = read_body(body, MAX_ANSWER_BYTES, memory)
             .await
             .map_err(|error| ExchangeError::MaybeSent(error.to_string()))?;
         self.used = Instant::now();
--- a/crates/gateway/src/server_search.rs
+++ b/crates/gateway/src/server_search.rs
@@ -22,8 +22,8 @@
 const MAX_WAIT_SHARE: f64 = 0.5;
 
 impl RequestForwarder {
-    /// Finds a server with free capacity. While all are full, requests wait in a queue for as long as
-    /// there is time to run them. Requests that can still meet their target latency go first.
+    /// Finds a server with free capacity. While all are full, requests wait in a queue for as long
+    /// as there is time to run them. Requests that can still meet their target latency go first.
     pub(crate) async fn find_server(
         &self,
         call: &ForwardedCall,
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -163,8 +163,9 @@
 /// The servers of one service that may receive new requests.
 pub(crate) type ServerList = Arc<[Arc<BackendServer>]>;
 
-/// All servers that may receive new requests, by service. Each list starts with the servers that this
-/// entry prefers by rendezvous hashing, so that it keeps connections to only some of many servers.
+/// All servers that may receive new requests, by service. Each list starts with the servers that
+/// this entry prefers by rendezvous hashing, so that it keeps connections to only some of many
+/// servers.
 pub(crate) struct ServerTable {
     entry: EntryName,
     services: RwLock<HashMap<ServiceName, ServerList>>,
