--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -25,7 +25,7 @@
 
 /// What the header fields of a server's response say about the response and the server.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerSigns {
+pub struct AnswerMetadata {
     /// Id of the request that this is the response to.
     pub request_id: Option<HeaderValue>,
     /// Whether the response carries the signature of a server that handled the request.
@@ -47,7 +47,7 @@
     /// Writes the header fields for a server and replaces the caller's fields of the same name.
     fn write_send_terms(&self, headers: &mut HeaderMap, terms: &SendTerms<'_>);
     /// Parses the header fields of a server's response.
-    fn answer_signs(&self, headers: &HeaderMap) -> AnswerSigns;
+    fn answer_signs(&self, headers: &HeaderMap) -> AnswerMetadata;
     /// Removes a server's signature from a response that is not that server's own.
     fn remove_signature(&self, headers: &mut HeaderMap);
     /// Writes how long a refused caller should wait before it retries.
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 use follow::LeaderFinder;
 use hawthornhill_gateway::{
-    AnswerSigns, GatewayNode, GatewaySettings, GatewayTools, RequestTerms, SendTerms, WireDialect,
+    AnswerMetadata, GatewayNode, GatewaySettings, GatewayTools, RequestTerms, SendTerms,
+    WireDialect,
 };
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -182,7 +183,7 @@
         headers.insert("x-server", server);
     }
 
-    fn answer_signs(&self, headers: &HeaderMap) -> AnswerSigns {
+    fn answer_signs(&self, headers: &HeaderMap) -> AnswerMetadata {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let load = text("x-load").map(|text| {
             let fields: Vec<u32> = text.split(',').filter_map(|f| f.parse().ok()).collect();
@@ -191,7 +192,7 @@
             };
             ServerLoad { running, waiting, slots, slowness_percent }
         });
-        AnswerSigns {
+        AnswerMetadata {
             request_id: headers.get("x-id").cloned(),
             is_signed: headers.contains_key("x-signed"),
             is_not_run: headers.contains_key("x-not-run"),
