--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -7,7 +7,7 @@
 
 /// What a caller's header fields say about a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RequestTerms {
+pub struct RequestMetadata {
     /// Id of the caller's attempt, which servers echo in their responses.
     pub id: Option<HeaderValue>,
     /// How long the caller waits for the response.
@@ -43,7 +43,7 @@
 /// Defines the names and formats of header fields.
 pub trait WireDialect: Send + Sync {
     /// Parses the header fields of a caller's request.
-    fn request_terms(&self, headers: &HeaderMap) -> RequestTerms;
+    fn request_terms(&self, headers: &HeaderMap) -> RequestMetadata;
     /// Writes the header fields for a server and replaces the caller's fields of the same name.
     fn write_send_terms(&self, headers: &mut HeaderMap, terms: &SendTerms<'_>);
     /// Parses the header fields of a server's response.
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -1,7 +1,7 @@
 //! Forwards requests: finds the route, runs the attempts, and builds the final response.
 
 use crate::{
-    GatewayAnswer, RequestTerms, WireDialect,
+    GatewayAnswer, RequestMetadata, WireDialect,
     answer::remove_hop_headers,
     attempt::{AttemptOutcome, PreparedRequest, run_attempt},
     body::BodyMemory,
@@ -180,7 +180,7 @@
     /// Returns the current routes. An entry that has just started waits for its first ones.
     async fn wait_for_routes(
         &self,
-        terms: &RequestTerms,
+        terms: &RequestMetadata,
         arrived: Instant,
     ) -> Option<Arc<InstalledRoutes>> {
         let current = self.routes.borrow().clone();
@@ -345,7 +345,7 @@
     /// Records and logs the response to a request that was not routed to a service.
     fn finish_unrouted(
         &self,
-        terms: &RequestTerms,
+        terms: &RequestMetadata,
         outcome: &'static str,
         answer: GatewayAnswer,
     ) -> GatewayAnswer {
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use follow::LeaderFinder;
 use hawthornhill_gateway::{
-    AnswerMetadata, GatewayNode, GatewaySettings, GatewayTools, RequestTerms, SendTerms,
+    AnswerMetadata, GatewayNode, GatewaySettings, GatewayTools, RequestMetadata, SendTerms,
     WireDialect,
 };
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
@@ -169,9 +169,9 @@
 pub struct TestDialect;
 
 impl WireDialect for TestDialect {
-    fn request_terms(&self, headers: &HeaderMap) -> RequestTerms {
+    fn request_terms(&self, headers: &HeaderMap) -> RequestMetadata {
         let millis = headers.get("x-ms").and_then(|value| value.to_str().ok()?.parse().ok());
-        RequestTerms {
+        RequestMetadata {
             id: headers.get("x-id").cloned(),
             time_allowed: millis.map(Duration::from_millis),
         }
