--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,7 +1,7 @@
 //! A single attempt: sends a request to one server and classifies the outcome.
 
 use crate::{
-    GatewayAnswer, SendTerms, WireDialect,
+    ForwardMetadata, GatewayAnswer, WireDialect,
     answer::remove_hop_headers,
     body::BodyMemory,
     placer::ProbedServer,
@@ -69,7 +69,7 @@
         return AttemptOutcome::NotRun("no time was left".to_owned());
     }
     let mut headers = request.headers.clone();
-    dialect.write_send_terms(&mut headers, &SendTerms { server: &server.name, time_allowed });
+    dialect.write_send_terms(&mut headers, &ForwardMetadata { server: &server.name, time_allowed });
     let mut message = Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.target.clone();
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -16,7 +16,7 @@
 
 /// What an entry tells a server about a request in the header fields.
 #[derive(Debug, Clone, Copy)]
-pub struct SendTerms<'a> {
+pub struct ForwardMetadata<'a> {
     /// The intended server; any other server must refuse the request.
     pub server: &'a ServerName,
     /// Time left until the response is of no use.
@@ -45,7 +45,7 @@
     /// Parses the header fields of a caller's request.
     fn request_terms(&self, headers: &HeaderMap) -> RequestMetadata;
     /// Writes the header fields for a server and replaces the caller's fields of the same name.
-    fn write_send_terms(&self, headers: &mut HeaderMap, terms: &SendTerms<'_>);
+    fn write_send_terms(&self, headers: &mut HeaderMap, terms: &ForwardMetadata<'_>);
     /// Parses the header fields of a server's response.
     fn answer_signs(&self, headers: &HeaderMap) -> AnswerMetadata;
     /// Removes a server's signature from a response that is not that server's own.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -23,6 +23,6 @@
 mod service_queue;
 
 pub use answer::GatewayAnswer;
-pub use dialect::{AnswerMetadata, RequestMetadata, SendTerms, WireDialect};
+pub use dialect::{AnswerMetadata, ForwardMetadata, RequestMetadata, WireDialect};
 pub use listener::GatewayListener;
 pub use node::{GatewayError, GatewayNode, GatewaySettings, GatewayTools};
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use follow::LeaderFinder;
 use hawthornhill_gateway::{
-    AnswerMetadata, GatewayNode, GatewaySettings, GatewayTools, RequestMetadata, SendTerms,
+    AnswerMetadata, ForwardMetadata, GatewayNode, GatewaySettings, GatewayTools, RequestMetadata,
     WireDialect,
 };
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
@@ -177,7 +177,7 @@
         }
     }
 
-    fn write_send_terms(&self, headers: &mut HeaderMap, terms: &SendTerms<'_>) {
+    fn write_send_terms(&self, headers: &mut HeaderMap, terms: &ForwardMetadata<'_>) {
         headers.insert("x-ms", HeaderValue::from(terms.time_allowed.as_millis() as u64));
         let server = HeaderValue::from_str(terms.server.as_str()).expect("a name");
         headers.insert("x-server", server);
