--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -107,7 +107,7 @@
     answer: ServerAnswer,
     dialect: &Arc<dyn WireDialect>,
 ) -> AttemptOutcome {
-    let metadata = dialect.answer_signs(&answer.headers);
+    let metadata = dialect.answer_metadata(&answer.headers);
     if request.id.is_some() && metadata.request_id.is_some() && metadata.request_id != request.id {
         return AttemptOutcome::Unknown("the answer is to another request".to_owned());
     }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -47,7 +47,7 @@
     /// Writes the header fields for a server and replaces the caller's fields of the same name.
     fn write_send_terms(&self, headers: &mut HeaderMap, terms: &ForwardMetadata<'_>);
     /// Parses the header fields of a server's response.
-    fn answer_signs(&self, headers: &HeaderMap) -> AnswerMetadata;
+    fn answer_metadata(&self, headers: &HeaderMap) -> AnswerMetadata;
     /// Removes a server's signature from a response that is not that server's own.
     fn remove_signature(&self, headers: &mut HeaderMap);
     /// Writes how long a refused caller should wait before it retries.
--- a/crates/gateway/src/placer.rs
+++ b/crates/gateway/src/placer.rs
@@ -374,7 +374,7 @@
             .body(Full::new(Bytes::new()))
             .ok()?;
         let answer = connection.exchange(request, &self.memory).await.ok()?;
-        let metadata = self.dialect.answer_signs(&answer.headers);
+        let metadata = self.dialect.answer_metadata(&answer.headers);
         // Ignores responses of another server and late responses to an earlier request.
         if !answer.is_kept || metadata.server.as_deref() != Some(self.server.name.as_str()) {
             return None;
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -183,7 +183,7 @@
         headers.insert("x-server", server);
     }
 
-    fn answer_signs(&self, headers: &HeaderMap) -> AnswerMetadata {
+    fn answer_metadata(&self, headers: &HeaderMap) -> AnswerMetadata {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let load = text("x-load").map(|text| {
             let fields: Vec<u32> = text.split(',').filter_map(|f| f.parse().ok()).collect();
