--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -43,7 +43,7 @@
 /// Defines the names and formats of header fields.
 pub trait WireDialect: Send + Sync {
     /// Parses the header fields of a caller's request.
-    fn request_terms(&self, headers: &HeaderMap) -> RequestMetadata;
+    fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
     /// Writes the header fields for a server and replaces the caller's fields of the same name.
     fn write_send_terms(&self, headers: &mut HeaderMap, terms: &ForwardMetadata<'_>);
     /// Parses the header fields of a server's response.
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -128,7 +128,7 @@
     /// Forwards a request and returns the response. Dropping the future of an idempotent request
     /// cancels the request at its server.
     pub(crate) async fn forward(self: &Arc<Self>, request: CallerRequest) -> GatewayAnswer {
-        let terms = self.dialect.request_terms(&request.headers);
+        let terms = self.dialect.request_metadata(&request.headers);
         let Some(routes) = self.wait_for_routes(&terms, request.arrived).await else {
             let answer = GatewayAnswer::refused("no routes are known yet", no_routes_retry_after());
             return self.finish_unrouted(&terms, "no-routes", answer);
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -169,7 +169,7 @@
 pub struct TestDialect;
 
 impl WireDialect for TestDialect {
-    fn request_terms(&self, headers: &HeaderMap) -> RequestMetadata {
+    fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata {
         let millis = headers.get("x-ms").and_then(|value| value.to_str().ok()?.parse().ok());
         RequestMetadata {
             id: headers.get("x-id").cloned(),
