--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -69,7 +69,10 @@
         return AttemptOutcome::NotRun("no time was left".to_owned());
     }
     let mut headers = request.headers.clone();
-    dialect.write_send_terms(&mut headers, &ForwardMetadata { server: &server.name, time_allowed });
+    dialect.write_forward_metadata(
+        &mut headers,
+        &ForwardMetadata { server: &server.name, time_allowed },
+    );
     let mut message = Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.target.clone();
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -177,7 +177,7 @@
         }
     }
 
-    fn write_send_terms(&self, headers: &mut HeaderMap, terms: &ForwardMetadata<'_>) {
+    fn write_forward_metadata(&self, headers: &mut HeaderMap, terms: &ForwardMetadata<'_>) {
         headers.insert("x-ms", HeaderValue::from(terms.time_allowed.as_millis() as u64));
         let server = HeaderValue::from_str(terms.server.as_str()).expect("a name");
         headers.insert("x-server", server);
