--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -7,7 +7,7 @@
     EntryDirectory, GroupKeeper, GroupSettings, ReplicaControl, directory_entries, seed_identity,
 };
 use follow::LeaderFinder;
-use gateway::{GatewayNode, GatewaySettings, GatewayTools};
+use gateway::{GatewayDependencies, GatewayNode, GatewaySettings};
 use peer::{PeerLink, PeerTarget, StreamNode};
 use platform::{
     BootFile, BootSettings, PlatformDialect, serve_control, serve_directory, serve_ready,
@@ -162,7 +162,7 @@
             farewell: FAREWELL,
             stop_grace: settings.stop_grace.saturating_sub(FAREWELL + STOP_MARGIN),
         };
-        let tools = GatewayTools {
+        let tools = GatewayDependencies {
             dialect: Arc::new(PlatformDialect),
             leader: self.leader.clone(),
             metrics: self.metrics.clone(),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -25,4 +25,4 @@
 pub use answer::GatewayAnswer;
 pub use dialect::{AnswerMetadata, ForwardMetadata, RequestMetadata, WireDialect};
 pub use listener::GatewayListener;
-pub use node::{GatewayError, GatewayNode, GatewaySettings, GatewayTools};
+pub use node::{GatewayDependencies, GatewayError, GatewayNode, GatewaySettings};
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -49,7 +49,7 @@
 }
 
 /// Shared services of the process that a gateway entry uses.
-pub struct GatewayTools {
+pub struct GatewayDependencies {
     /// Defines the header fields of callers and servers.
     pub dialect: Arc<dyn WireDialect>,
     /// Finds the leader of the replicas.
@@ -130,9 +130,9 @@
     /// Fails if the address cannot be bound.
     pub async fn start(
         settings: GatewaySettings,
-        tools: GatewayTools,
+        tools: GatewayDependencies,
     ) -> Result<Arc<Self>, GatewayError> {
-        let GatewayTools { dialect, leader, metrics, timeline, logger, timer } = tools;
+        let GatewayDependencies { dialect, leader, metrics, timeline, logger, timer } = tools;
         let address = settings.info.caller_address;
         let socket =
             TcpListener::bind(address).await.map_err(|source| GatewayError { address, source })?;
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use follow::LeaderFinder;
 use hawthornhill_gateway::{
-    AnswerMetadata, ForwardMetadata, GatewayNode, GatewaySettings, GatewayTools, RequestMetadata,
-    WireDialect,
+    AnswerMetadata, ForwardMetadata, GatewayDependencies, GatewayNode, GatewaySettings,
+    RequestMetadata, WireDialect,
 };
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -344,7 +344,7 @@
             farewell: Duration::from_millis(200),
             stop_grace: Duration::from_secs(5),
         };
-        let tools = GatewayTools {
+        let tools = GatewayDependencies {
             dialect: Arc::new(TestDialect),
             leader: Arc::new(LeaderFinder::new(replicas.clone(), vec![target])),
             metrics: MetricsRegistry::default(),
