--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -159,7 +159,7 @@
             budget: settings.budget,
             first_routes: FirstRoutesTerms::default(),
             body_memory_bytes: settings.memory_bytes / BODY_MEMORY_SHARE,
-            farewell: FAREWELL,
+            accept_grace: FAREWELL,
             stop_grace: settings.stop_grace.saturating_sub(FAREWELL + STOP_MARGIN),
         };
         let tools = GatewayDependencies {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -43,7 +43,7 @@
     pub body_memory_bytes: u64,
     /// How long a stopping entry still accepts connections, for callers that have not learned of
     /// the stop yet.
-    pub farewell: Duration,
+    pub accept_grace: Duration,
     /// How long a stopping entry then waits for requests in flight.
     pub stop_grace: Duration,
 }
@@ -202,7 +202,7 @@
         self.timeline.record(EventKind::StopBegun, EventTags::default(), String::new());
         self.holder.info.write().serving = false;
         self.stop.send_replace(StopStage::FinishingRequests);
-        sleep(self.settings.farewell).await;
+        sleep(self.settings.accept_grace).await;
         self.stop.send_replace(StopStage::Closing);
         let deadline = Instant::now() + self.settings.stop_grace;
         while self.connections.load(Ordering::Acquire) > 0 {
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -341,7 +341,7 @@
             budget: BudgetTerms { slack: 100, ..BudgetTerms::default() },
             first_routes,
             body_memory_bytes: 64 * 1024 * 1024,
-            farewell: Duration::from_millis(200),
+            accept_grace: Duration::from_millis(200),
             stop_grace: Duration::from_secs(5),
         };
         let tools = GatewayDependencies {
