--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Returns whether a request has been read at least partly and not started.
+    /// Returns whether a request that has not started yet is buffered at least partly.
     fn has_pending_input(&self) -> bool {
         !self.buffer.is_empty() || self.partial.is_some() || self.deferred.is_some()
     }
@@ -167,12 +167,12 @@
             let Some((request, is_last)) = self.deferred.take() else {
                 return Ok(());
             };
-            let may_overlap = self.forwarder.may_overlap(&request);
-            if !may_overlap && !self.running.is_empty() {
+            let may_run_concurrently = self.forwarder.may_run_concurrently(&request);
+            if !may_run_concurrently && !self.running.is_empty() {
                 self.deferred = Some((request, is_last));
                 return Ok(());
             }
-            self.is_exclusive = !may_overlap;
+            self.is_exclusive = !may_run_concurrently;
             self.is_input_closed = is_last;
             let (forwarder, method) = (self.forwarder.clone(), request.method.clone());
             let run = async move {
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -45,7 +45,7 @@
     /// Parses the header fields of a caller's request.
     fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
     /// Writes the header fields for a server and replaces the caller's fields of the same name.
-    fn write_forward_metadata(&self, headers: &mut HeaderMap, terms: &ForwardMetadata<'_>);
+    fn write_forward_metadata(&self, headers: &mut HeaderMap, metadata: &ForwardMetadata<'_>);
     /// Parses the header fields of a server's response.
     fn answer_metadata(&self, headers: &HeaderMap) -> AnswerMetadata;
     /// Removes a server's signature from a response that is not that server's own.
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -110,7 +110,7 @@
     /// non-idempotent request waits until all requests before it are answered: one of those
     /// responses might close the connection, and the caller would then assume that the request was
     /// not read.
-    pub(crate) fn may_overlap(&self, request: &CallerRequest) -> bool {
+    pub(crate) fn may_run_concurrently(&self, request: &CallerRequest) -> bool {
         let routes = self.routes.borrow();
         let Some(routes) = routes.as_ref() else {
             return false;
@@ -128,34 +128,34 @@
     /// Forwards a request and returns the response. Dropping the future of an idempotent request
     /// cancels the request at its server.
     pub(crate) async fn forward(self: &Arc<Self>, request: CallerRequest) -> GatewayAnswer {
-        let terms = self.dialect.request_metadata(&request.headers);
-        let Some(routes) = self.wait_for_routes(&terms, request.arrived).await else {
+        let metadata = self.dialect.request_metadata(&request.headers);
+        let Some(routes) = self.wait_for_routes(&metadata, request.arrived).await else {
             let answer = GatewayAnswer::refused("no routes are known yet", no_routes_retry_after());
-            return self.finish_unrouted(&terms, "no-routes", answer);
+            return self.finish_unrouted(&metadata, "no-routes", answer);
         };
         let Some(route) = routes.find(&request).cloned() else {
             let answer = GatewayAnswer::own(StatusCode::NOT_FOUND, "no route for host and path");
-            return self.finish_unrouted(&terms, "no-route", answer);
+            return self.finish_unrouted(&metadata, "no-route", answer);
         };
         let service = route.part_for(rand::random());
         let Some(pool) = service.and_then(|service| routes.document.pool(service)).cloned() else {
             let answer = GatewayAnswer::own(StatusCode::NOT_FOUND, "the route has no service");
-            return self.finish_unrouted(&terms, "no-service", answer);
+            return self.finish_unrouted(&metadata, "no-service", answer);
         };
         let CallerRequest { method, target, mut headers, body, reservation, arrived } = request;
-        let caller_wait = terms.time_allowed.unwrap_or(route.timeout());
+        let caller_wait = metadata.time_allowed.unwrap_or(route.timeout());
         let caller_deadline = arrived + caller_wait;
         let deadline = caller_deadline.min(arrived + route.timeout());
         remove_hop_headers(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
         let target = target.path_and_query().cloned().map(Uri::from).unwrap_or(target);
-        let id = terms.id;
+        let id = metadata.id;
         let request =
             PreparedRequest { id, method, target, headers, body, caller_deadline, deadline };
         let view = self.view.read().clone();
         let is_idempotent = route.is_idempotent;
-        let waited = self.record_caller_timeout(&route, arrived, terms.time_allowed);
+        let waited = self.record_caller_timeout(&route, arrived, metadata.time_allowed);
         let attempt_log = Mutex::default();
         let call = ForwardedCall { route, pool, request, arrived, waited, view, attempt_log };
         self.with_service(&call.pool.service, |state| {
@@ -180,14 +180,15 @@
     /// Returns the current routes. An entry that has just started waits for its first ones.
     async fn wait_for_routes(
         &self,
-        terms: &RequestMetadata,
+        metadata: &RequestMetadata,
         arrived: Instant,
     ) -> Option<Arc<InstalledRoutes>> {
         let current = self.routes.borrow().clone();
         if current.is_some() {
             return current;
         }
-        let deadline = self.first_routes.wait_until(self.started, arrived, terms.time_allowed)?;
+        let deadline =
+            self.first_routes.wait_until(self.started, arrived, metadata.time_allowed)?;
         let mut routes = self.routes.subscribe();
         let installed = timeout_at(deadline.into(), routes.wait_for(Option::is_some)).await;
         installed.ok()?.ok()?.clone()
@@ -345,12 +346,12 @@
     /// Records and logs the response to a request that was not routed to a service.
     fn finish_unrouted(
         &self,
-        terms: &RequestMetadata,
+        metadata: &RequestMetadata,
         outcome: &'static str,
         answer: GatewayAnswer,
     ) -> GatewayAnswer {
         self.metrics.requests.count(outcome);
-        info!(self.logger, "request"; "id" => id_text(terms.id.as_ref()),
+        info!(self.logger, "request"; "id" => id_text(metadata.id.as_ref()),
             "view" => self.view.read().version.0, "status" => answer.status.as_u16(),
             "outcome" => outcome);
         answer
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -18,7 +18,7 @@
 /// Delay before the next `accept` after one failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The stage of a graceful shutdown, in order.
+/// The stages of a graceful shutdown, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum StopStage {
     /// No shutdown has begun.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -130,9 +130,10 @@
     /// Fails if the address cannot be bound.
     pub async fn start(
         settings: GatewaySettings,
-        tools: GatewayDependencies,
+        dependencies: GatewayDependencies,
     ) -> Result<Arc<Self>, GatewayError> {
-        let GatewayDependencies { dialect, leader, metrics, timeline, logger, timer } = tools;
+        let GatewayDependencies { dialect, leader, metrics, timeline, logger, timer } =
+            dependencies;
         let address = settings.info.caller_address;
         let socket =
             TcpListener::bind(address).await.map_err(|source| GatewayError { address, source })?;
--- a/crates/gateway/src/server_connection.rs
+++ b/crates/gateway/src/server_connection.rs
@@ -108,7 +108,7 @@
             }
         };
         let (parts, body) = response.into_parts();
-        let (body, _held) = read_body(body, MAX_ANSWER_BYTES, memory)
+        let (body, _reservation) = read_body(body, MAX_ANSWER_BYTES, memory)
             .await
             .map_err(|error| ExchangeError::MaybeSent(error.to_string()))?;
         self.used = Instant::now();
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -25,8 +25,8 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(2_500);
 /// Maximum number of times that the backoff doubles, so that it cannot overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// Time for which a server that reported that it is full is probed after others. Requests hold a
-/// slot for longer than this.
+/// Time for which a server is probed after others once it has reported that it is full. Requests
+/// hold a slot for longer than this.
 const FULL_REPORT_TTL: Duration = Duration::from_millis(40);
 /// Weight of the latest outcome in the moving average of failures.
 const OUTCOME_WEIGHT: f64 = 0.4;
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -177,9 +177,9 @@
         }
     }
 
-    fn write_forward_metadata(&self, headers: &mut HeaderMap, terms: &ForwardMetadata<'_>) {
-        headers.insert("x-ms", HeaderValue::from(terms.time_allowed.as_millis() as u64));
-        let server = HeaderValue::from_str(terms.server.as_str()).expect("a name");
+    fn write_forward_metadata(&self, headers: &mut HeaderMap, metadata: &ForwardMetadata<'_>) {
+        headers.insert("x-ms", HeaderValue::from(metadata.time_allowed.as_millis() as u64));
+        let server = HeaderValue::from_str(metadata.server.as_str()).expect("a name");
         headers.insert("x-server", server);
     }
 
@@ -344,7 +344,7 @@
             accept_grace: Duration::from_millis(200),
             stop_grace: Duration::from_secs(5),
         };
-        let tools = GatewayDependencies {
+        let dependencies = GatewayDependencies {
             dialect: Arc::new(TestDialect),
             leader: Arc::new(LeaderFinder::new(replicas.clone(), vec![target])),
             metrics: MetricsRegistry::default(),
@@ -352,7 +352,7 @@
             logger: root_logger(LogFormat::Json, "entry-1"),
             timer: TimerService::start(),
         };
-        let node = GatewayNode::start(settings, tools).await.expect("the address is free");
+        let node = GatewayNode::start(settings, dependencies).await.expect("the address is free");
         Self { node, replicas, address }
     }
 
