--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -8,7 +8,7 @@
     seed_identity,
 };
 use follow::LeaderClient;
-use gateway::{GatewayNode, GatewaySettings, GatewayTools};
+use gateway::{GatewayDependencies, GatewayNode, GatewaySettings};
 use peer::{PeerLink, PeerTarget, StreamNode};
 use platform::{
     BootFile, BootSettings, PlatformDialect, serve_control, serve_directory, serve_ready,
@@ -160,10 +160,10 @@
             budget: settings.budget,
             first_routes: FirstRoutesTerms::default(),
             body_memory_bytes: settings.memory_bytes / BODY_MEMORY_SHARE,
-            farewell: FAREWELL,
+            accept_grace: FAREWELL,
             stop_grace: settings.stop_grace.saturating_sub(FAREWELL + STOP_MARGIN),
         };
-        let tools = GatewayTools {
+        let tools = GatewayDependencies {
             dialect: Arc::new(PlatformDialect),
             leader: self.leader.clone(),
             metrics: self.metrics.clone(),
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading whole bodies within bounds.
+//! Reads complete bodies within limits on their size and on the memory of the process.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -9,67 +9,68 @@
 };
 use thiserror::Error;
 
-/// Says why a body was not read.
+/// The reason why a body was not read.
 #[derive(Debug, Error)]
 pub(crate) enum BodyError {
-    /// It is longer than allowed.
+    /// The body exceeds this limit, in bytes.
     #[error("the body has more than {0} bytes")]
     TooLarge(u64),
-    /// The entry holds too many bodies already.
+    /// The limit on the memory for all bodies is reached.
     #[error("no memory for the body")]
     NoMemory,
-    /// It ended early.
+    /// The connection failed before the end of the body.
     #[error("the body broke off: {0}")]
     BrokenOff(hyper::Error),
 }
 
-/// Bytes of bodies that a process holds at present, against a bound.
+/// Tracks the bytes of all buffered bodies of a process against a limit.
 #[derive(Debug)]
 pub(crate) struct BodyMemory {
-    held: AtomicU64,
+    reserved: AtomicU64,
     limit: u64,
 }
 
-/// A part of the memory for bodies, given back when dropped.
+/// Bytes reserved in a [`BodyMemory`], released on drop.
 #[derive(Debug)]
-pub(crate) struct HeldMemory {
+pub(crate) struct MemoryReservation {
     memory: Arc<BodyMemory>,
     bytes: u64,
 }
 
 impl BodyMemory {
     pub(crate) fn new(limit: u64) -> Arc<Self> {
-        Arc::new(Self { held: AtomicU64::new(0), limit })
+        Arc::new(Self { reserved: AtomicU64::new(0), limit })
     }
 }
 
-impl HeldMemory {
-    /// Holds nothing yet.
+impl MemoryReservation {
+    /// Returns an empty reservation.
     pub(crate) fn new(memory: &Arc<BodyMemory>) -> Self {
         Self { memory: memory.clone(), bytes: 0 }
     }
 
-    /// Holds more bytes. Fails if the process holds too many then.
+    /// Reserves more bytes. Fails if the total then exceeds the limit; the bytes still count until
+    /// the reservation is dropped.
     pub(crate) fn grow(&mut self, bytes: u64) -> Result<(), BodyError> {
-        let before = self.memory.held.fetch_add(bytes, Ordering::AcqRel);
+        let before = self.memory.reserved.fetch_add(bytes, Ordering::AcqRel);
         self.bytes += bytes;
         if before + bytes > self.memory.limit { Err(BodyError::NoMemory) } else { Ok(()) }
     }
 }
 
-impl Drop for HeldMemory {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.memory.held.fetch_sub(self.bytes, Ordering::AcqRel);
+        self.memory.reserved.fetch_sub(self.bytes, Ordering::AcqRel);
     }
 }
 
-/// Reads a whole body of at most `limit` bytes.
-pub(crate) async fn read_whole(
+/// Reads a complete body of at most `limit` bytes.
+pub(crate) async fn read_body(
     mut body: Incoming,
     limit: u64,
     memory: &Arc<BodyMemory>,
-) -> Result<(Bytes, HeldMemory), BodyError> {
-    let mut held = HeldMemory::new(memory);
+) -> Result<(Bytes, MemoryReservation), BodyError> {
+    let mut reservation = MemoryReservation::new(memory);
     let mut whole = BytesMut::new();
     if body.size_hint().lower() > limit {
         return Err(BodyError::TooLarge(limit));
@@ -77,12 +78,12 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(BodyError::BrokenOff)?;
         if let Ok(data) = frame.into_data() {
-            held.grow(data.len() as u64)?;
+            reservation.grow(data.len() as u64)?;
             whole.extend_from_slice(&data);
             if whole.len() as u64 > limit {
                 return Err(BodyError::TooLarge(limit));
             }
         }
     }
-    Ok((whole.freeze(), held))
+    Ok((whole.freeze(), reservation))
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,8 +1,8 @@
-//! One connection of a caller: requests in, answers out in the same order.
+//! A caller's connection: reads requests and writes the responses in the same order.
 
 use crate::{
     GatewayAnswer,
-    body::{BodyError, HeldMemory},
+    body::{BodyError, MemoryReservation},
     call::CallerRequest,
     forwarder::RequestForwarder,
     http1::{BodyDecoder, CONTINUE_LINE, HeadError, RequestHead, encode_answer, parse_head},
@@ -24,22 +24,23 @@
 };
 use types::CallerLimits;
 
-/// Requests of one connection that run at the same time.
-const MAX_OVERLAPPING: usize = 16;
-/// Bytes that are read ahead while requests run, so that the end of the connection is seen.
+/// Maximum number of requests of one connection that run concurrently.
+const MAX_PIPELINED: usize = 16;
+/// Maximum number of bytes that are read ahead while requests run, in order to detect that the
+/// caller has closed the connection.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
-/// How long a closed connection is still read from. Closing it with unread bytes would reset it,
-/// and the caller might lose the last answer.
+/// How long a connection is still read from after this side has closed it. Dropping it with unread
+/// bytes would reset it, and the caller might lose the last response.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// A request whose body is still on its way.
+/// A request whose body is not complete.
 struct PartialRequest {
     head: RequestHead,
     body: BodyDecoder,
-    held: HeldMemory,
+    reservation: MemoryReservation,
 }
 
-/// What became of a request: the answer, and whether the caller wants to close behind it.
+/// The response to a request, and whether the caller wants to close the connection after it.
 struct FinishedRequest {
     answer: GatewayAnswer,
     method: Method,
@@ -54,16 +55,17 @@
     stop: watch::Receiver<StopStage>,
     buffer: BytesMut,
     partial: Option<PartialRequest>,
-    /// A whole request that may not run beside those before it.
-    waiting: Option<(CallerRequest, bool)>,
+    /// A complete request that must wait until the requests before it are answered, and whether the
+    /// caller wants to close the connection after it.
+    deferred: Option<(CallerRequest, bool)>,
     running: FuturesOrdered<BoxFuture<'static, FinishedRequest>>,
-    /// The request that runs may not run beside others.
+    /// Whether the running request excludes all others.
     is_exclusive: bool,
-    /// No request is read any more.
-    has_ended_input: bool,
+    /// Whether no more requests are read.
+    is_input_closed: bool,
     idle_since: Instant,
-    /// When the first byte of the request that is being read arrived.
-    request_since: Option<Instant>,
+    /// When the first byte of the current request arrived.
+    request_started: Option<Instant>,
 }
 
 impl CallerConnection {
@@ -80,36 +82,37 @@
             stop,
             buffer: BytesMut::new(),
             partial: None,
-            waiting: None,
+            deferred: None,
             running: FuturesOrdered::new(),
             is_exclusive: false,
-            has_ended_input: false,
+            is_input_closed: false,
             idle_since: Instant::now(),
-            request_since: None,
+            request_started: None,
         }
     }
 
-    /// Serves until either side closes. Requests that may be repeated are cancelled when the
-    /// caller leaves.
+    /// Serves the connection until either side closes it. Idempotent requests are cancelled when
+    /// the caller disconnects.
     pub(crate) async fn run(mut self) {
-        // A caller whose connection breaks asks again.
+        // I/O errors need no handling: a caller whose connection fails retries.
         if let Ok(true) = self.serve().await {
             self.linger().await;
         }
     }
 
-    /// Returns whether this side closes the connection.
+    /// Serves the connection and returns whether this side closes it.
     async fn serve(&mut self) -> io::Result<bool> {
         loop {
             self.start_requests().await?;
             let stage = *self.stop.borrow();
             let is_idle = self.running.is_empty();
             if is_idle
-                && (self.has_ended_input || (stage == StopStage::Closing && !self.has_begun()))
+                && (self.is_input_closed
+                    || (stage == StopStage::Closing && !self.has_pending_input()))
             {
                 return Ok(true);
             }
-            let may_read = self.buffer.len() < READ_AHEAD_BYTES && !self.has_ended_input;
+            let may_read = self.buffer.len() < READ_AHEAD_BYTES && !self.is_input_closed;
             let deadline = self.read_deadline();
             tokio::select! {
                 biased;
@@ -122,7 +125,7 @@
                     if read? == 0 {
                         return Ok(false);
                     }
-                    self.request_since.get_or_insert_with(Instant::now);
+                    self.request_started.get_or_insert_with(Instant::now);
                 }
                 changed = self.stop.changed(), if stage < StopStage::Closing => {
                     if changed.is_err() {
@@ -130,7 +133,7 @@
                     }
                 }
                 () = sleep_until(deadline.into()), if is_idle => {
-                    if !self.has_begun() {
+                    if !self.has_pending_input() {
                         return Ok(true);
                     }
                     self.refuse(StatusCode::REQUEST_TIMEOUT, "the request is late");
@@ -139,38 +142,38 @@
         }
     }
 
-    /// Says whether a part of a request has been read.
-    fn has_begun(&self) -> bool {
-        !self.buffer.is_empty() || self.partial.is_some() || self.waiting.is_some()
+    /// Returns whether a request that has not started yet is buffered at least partly.
+    fn has_pending_input(&self) -> bool {
+        !self.buffer.is_empty() || self.partial.is_some() || self.deferred.is_some()
     }
 
-    /// Returns when a connection without a running request has used up its time.
+    /// Returns when a connection without a running request times out.
     fn read_deadline(&self) -> Instant {
         let idle = Duration::from_millis(self.limits.idle_timeout_ms.into());
         let head = Duration::from_millis(self.limits.head_timeout_ms.into());
-        match (&self.partial, self.request_since) {
+        match (&self.partial, self.request_started) {
             (None, Some(since)) if !self.buffer.is_empty() => since.max(self.idle_since) + head,
             (Some(_), Some(since)) => since + idle,
             _ => self.idle_since + idle,
         }
     }
 
-    /// Starts all requests that are there in full and may run now.
+    /// Starts all requests that are complete and may run now.
     async fn start_requests(&mut self) -> io::Result<()> {
-        while !self.has_ended_input && self.running.len() < MAX_OVERLAPPING && !self.is_exclusive {
-            if self.waiting.is_none() {
-                self.waiting = self.next_request().await?;
+        while !self.is_input_closed && self.running.len() < MAX_PIPELINED && !self.is_exclusive {
+            if self.deferred.is_none() {
+                self.deferred = self.next_request().await?;
             }
-            let Some((request, is_last)) = self.waiting.take() else {
+            let Some((request, is_last)) = self.deferred.take() else {
                 return Ok(());
             };
-            let may_overlap = self.forwarder.may_overlap(&request);
-            if !may_overlap && !self.running.is_empty() {
-                self.waiting = Some((request, is_last));
+            let may_run_concurrently = self.forwarder.may_run_concurrently(&request);
+            if !may_run_concurrently && !self.running.is_empty() {
+                self.deferred = Some((request, is_last));
                 return Ok(());
             }
-            self.is_exclusive = !may_overlap;
-            self.has_ended_input = is_last;
+            self.is_exclusive = !may_run_concurrently;
+            self.is_input_closed = is_last;
             let (forwarder, method) = (self.forwarder.clone(), request.method.clone());
             let run = async move {
                 let answer = forwarder.forward(request).await;
@@ -181,8 +184,8 @@
         Ok(())
     }
 
-    /// Reads the next request from the buffer, with whether the caller closes behind it. `None` if
-    /// it is not there in full yet, or was refused.
+    /// Takes the next request from the buffer. Also returns whether the caller wants to close the
+    /// connection after it. `None` if the request is not complete or was refused.
     async fn next_request(&mut self) -> io::Result<Option<(CallerRequest, bool)>> {
         if self.partial.is_none() && !self.buffer.is_empty() {
             self.limits = self.forwarder.caller_limits();
@@ -191,15 +194,16 @@
         let Some(mut partial) = self.partial.take() else {
             return Ok(None);
         };
-        let before = partial.body.collected();
-        match partial.body.take(&mut self.buffer) {
-            Ok(is_whole) => {
-                if let Err(error) = partial.held.grow(partial.body.collected() - before) {
+        let before = partial.body.decoded_bytes();
+        match partial.body.decode(&mut self.buffer) {
+            Ok(is_complete) => {
+                if let Err(error) = partial.reservation.grow(partial.body.decoded_bytes() - before)
+                {
                     let error: BodyError = error;
                     self.refuse(StatusCode::SERVICE_UNAVAILABLE, &error.to_string());
                     return Ok(None);
                 }
-                if !is_whole {
+                if !is_complete {
                     self.partial = Some(partial);
                     return Ok(None);
                 }
@@ -209,15 +213,16 @@
                 return Ok(None);
             }
         }
-        self.request_since = (!self.buffer.is_empty()).then(Instant::now);
-        let PartialRequest { head, body, held } = partial;
+        self.request_started = (!self.buffer.is_empty()).then(Instant::now);
+        let PartialRequest { head, body, reservation } = partial;
         let RequestHead { method, target, headers, is_last, .. } = head;
         let body: Bytes = body.finish();
         let request =
-            CallerRequest { method, target, headers, body, held, arrived: Instant::now() };
+            CallerRequest { method, target, headers, body, reservation, arrived: Instant::now() };
         Ok(Some((request, is_last)))
     }
 
+    /// Parses a head from the buffer, and sends `100 Continue` if the caller waits for it.
     async fn read_head(&mut self) -> io::Result<()> {
         let max_bytes = self.limits.max_head_bytes as usize;
         let (head, length) = match parse_head(&self.buffer, max_bytes) {
@@ -243,22 +248,22 @@
         if head.expects_continue && self.buffer.is_empty() && self.running.is_empty() {
             self.stream.write_all(CONTINUE_LINE).await?;
         }
-        let held = HeldMemory::new(&self.forwarder.memory);
-        self.partial = Some(PartialRequest { head, body, held });
+        let reservation = MemoryReservation::new(&self.forwarder.memory);
+        self.partial = Some(PartialRequest { head, body, reservation });
         Ok(())
     }
 
-    /// Answers what was read with a refusal, behind all answers before it, and reads no more.
+    /// Queues a refusal after all earlier responses, and stops reading.
     fn refuse(&mut self, status: StatusCode, reason: &str) {
         let answer = GatewayAnswer { is_last: true, ..GatewayAnswer::own(status, reason) };
         let refused = FinishedRequest { answer, method: Method::GET, is_last: true };
-        self.forwarder.note_refusal(status, reason);
-        self.has_ended_input = true;
+        self.forwarder.record_refusal(status, reason);
+        self.is_input_closed = true;
         self.buffer.clear();
         self.running.push_back(std::future::ready(refused).boxed());
     }
 
-    /// Writes an answer. Returns whether the connection closes behind it.
+    /// Writes a response. Returns whether the connection closes after it.
     async fn write_answer(&mut self, finished: FinishedRequest) -> io::Result<bool> {
         let FinishedRequest { mut answer, method, is_last } = finished;
         let is_stopping = *self.stop.borrow() > StopStage::Serving;
@@ -272,13 +277,13 @@
         Ok(is_last)
     }
 
-    /// Closes this side, and reads until the caller has closed too.
+    /// Closes this side, and reads until the caller closes or [`LINGER`] has passed.
     async fn linger(&mut self) {
         self.running.clear();
         if self.stream.shutdown().await.is_err() {
             return;
         }
-        let drain = async {
+        let read_to_end = async {
             loop {
                 self.buffer.clear();
                 match self.stream.read_buf(&mut self.buffer).await {
@@ -287,7 +292,7 @@
                 }
             }
         };
-        // A caller that does not close in time is closed on.
-        let _ = timeout(LINGER, drain).await;
+        // Drops the connection after the timeout even if the caller has not closed it.
+        let _ = timeout(LINGER, read_to_end).await;
     }
 }
