--- a/crates/policy/src/cold_start.rs
+++ b/crates/policy/src/cold_start.rs
@@ -1,9 +1,9 @@
-//! The ramp by which a server that has just started is given more and more work.
+//! Slow start of a server that has just started: its concurrency limit grows with its successes.
 
-/// Successes at the current limit that widen it by half, at least by one.
+/// Successes after which the limit grows by half, at least by one.
 const SUCCESSES_PER_STEP: u32 = 8;
 
-/// Bounds the concurrent requests of one cold server. Kept by its owner only.
+/// Limits the concurrent requests at one cold server. Only the server's owner keeps one.
 ///
 /// Invariant: the limit stays between 1 and the server's slots.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -15,20 +15,21 @@
 }
 
 impl ColdRamp {
-    /// Returns a ramp from what a cold server bears to its slots.
+    /// Returns a ramp that starts at `cold_concurrency` requests and ends at the server's slots.
     pub fn new(cold_concurrency: u16, slots: u16) -> Self {
         let slots = u32::from(slots).max(1);
         let start = u32::from(cold_concurrency).clamp(1, slots);
         Self { limit: start, start, slots, successes: 0 }
     }
 
-    /// Returns the greatest number of concurrent requests at present.
+    /// Returns the current limit.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Notes a good answer. Returns true once the server has proved itself at all its slots.
-    pub fn note_success(&mut self) -> bool {
+    /// Records a success. Returns true once the server is warm, which takes a full step of successes
+    /// at a limit of all its slots.
+    pub fn record_success(&mut self) -> bool {
         self.successes += 1;
         if self.successes < SUCCESSES_PER_STEP {
             return false;
@@ -41,8 +42,8 @@
         false
     }
 
-    /// Notes a shed, failed or overlong answer: the ramp starts over.
-    pub fn note_failure(&mut self) {
+    /// Records a shed, failed or late answer: the ramp starts over.
+    pub fn record_failure(&mut self) {
         self.limit = self.start;
         self.successes = 0;
     }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,115 +1,117 @@
-//! What an entry has seen of one server lately, and whether it therefore leaves the server alone.
+//! Passive health check of one server: ejects it for a backoff time after failed requests.
 
 use std::time::{Duration, Instant};
 
-/// The first pause after a refused or broken connection or a late answer; doubled at each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// The first pause after a shed request; doubled at each further one.
-const FIRST_SHED_PAUSE: Duration = Duration::from_millis(5);
-/// The longest pause after a shed request.
-const LONGEST_SHED_PAUSE: Duration = Duration::from_millis(500);
-/// The first pause of a slow server; doubled at each further one.
-const FIRST_SLOW_PAUSE: Duration = Duration::from_secs(1);
-/// The longest pause of a slow server.
-const LONGEST_SLOW_PAUSE: Duration = Duration::from_secs(16);
-/// Weight of one answer in the share of failures, as a divisor.
-const FAILURE_DIVISOR: f64 = 8.0;
-/// Share of failures above which a server is paused.
-const FAILURE_LIMIT: f64 = 0.5;
+/// First ejection after a refused or broken connection, a late answer or a high failure rate;
+/// doubles each time.
+const MIN_EJECTION: Duration = Duration::from_millis(100);
+/// Longest ejection after such failures.
+const MAX_EJECTION: Duration = Duration::from_secs(5);
+/// First ejection after a shed request; doubles each time.
+const MIN_SHED_EJECTION: Duration = Duration::from_millis(5);
+/// Longest ejection after a shed request.
+const MAX_SHED_EJECTION: Duration = Duration::from_millis(500);
+/// First ejection of a slow server; doubles each time.
+const MIN_SLOW_EJECTION: Duration = Duration::from_secs(1);
+/// Longest ejection of a slow server.
+const MAX_SLOW_EJECTION: Duration = Duration::from_secs(16);
+/// Divisor of the weight of one answer in the moving average of failures.
+const FAILURE_RATE_DIVISOR: f64 = 8.0;
+/// Failure rate, 0 to 1, above which a server error ejects the server.
+const MAX_FAILURE_RATE: f64 = 0.5;
 
-/// How one try at a server ended.
+/// How one attempt at a server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A whole answer that is no server error.
+    /// A complete answer other than a server error, with its latency.
     Success(Duration),
-    /// A whole answer with a server error.
+    /// A complete answer with a server error.
     ServerError,
-    /// The server declared that it did not run the request, being overloaded.
+    /// The server was overloaded and stated that it did not run the request.
     Shed,
     /// The connection was refused or could not be opened.
     Unreachable,
     /// The connection broke after the request was sent.
     Broken,
-    /// No answer by the deadline, or long after answers commonly come.
+    /// No answer by the deadline, or well past the usual latency.
     Late,
-    /// The try was given up for reasons that do not concern the server.
+    /// The attempt was cancelled for a reason unrelated to the server.
     Cancelled,
 }
 
 /// The health of one server as seen by one entry.
 ///
-/// A fail-fast server answers quickly and so would attract load; the share of its failures keeps it
-/// out instead.
+/// Selection by latency favours a server that fails fast, so the server is ejected once its failure
+/// rate is too high.
 #[derive(Debug, Clone, Default)]
 pub struct ServerHealth {
-    paused_until: Option<Instant>,
-    pause: Duration,
-    shed_pause: Duration,
-    slow_pause: Duration,
-    failure_share: f64,
-    is_on_trial: bool,
+    ejected_until: Option<Instant>,
+    ejection: Duration,
+    shed_ejection: Duration,
+    slow_ejection: Duration,
+    failure_rate: f64,
+    is_half_open: bool,
 }
 
 impl ServerHealth {
-    /// Notes the end of a try.
-    pub fn note(&mut self, outcome: AttemptOutcome, now: Instant) {
+    /// Records the end of an attempt.
+    pub fn record(&mut self, outcome: AttemptOutcome, now: Instant) {
         match outcome {
             AttemptOutcome::Success(_) => {
-                self.note_share(0.0);
-                self.is_on_trial = false;
-                self.pause = Duration::ZERO;
-                self.shed_pause = Duration::ZERO;
+                self.update_failure_rate(0.0);
+                self.is_half_open = false;
+                self.ejection = Duration::ZERO;
+                self.shed_ejection = Duration::ZERO;
             }
             AttemptOutcome::ServerError => {
-                self.note_share(1.0);
-                if self.failure_share > FAILURE_LIMIT {
-                    self.lengthen_pause(now);
+                self.update_failure_rate(1.0);
+                if self.failure_rate > MAX_FAILURE_RATE {
+                    self.lengthen_ejection(now);
                 }
             }
             AttemptOutcome::Shed => {
-                let doubled = self.shed_pause * 2;
-                self.shed_pause = doubled.clamp(FIRST_SHED_PAUSE, LONGEST_SHED_PAUSE);
-                self.pause_for(self.shed_pause, now);
+                let doubled = self.shed_ejection * 2;
+                self.shed_ejection = doubled.clamp(MIN_SHED_EJECTION, MAX_SHED_EJECTION);
+                self.eject_for(self.shed_ejection, now);
             }
-            AttemptOutcome::Unreachable => self.lengthen_pause(now),
+            AttemptOutcome::Unreachable => self.lengthen_ejection(now),
             AttemptOutcome::Broken | AttemptOutcome::Late => {
-                self.note_share(1.0);
-                self.lengthen_pause(now);
+                self.update_failure_rate(1.0);
+                self.lengthen_ejection(now);
             }
             AttemptOutcome::Cancelled => {}
         }
     }
 
-    /// Notes that the server has become slow.
-    pub fn note_slow(&mut self, now: Instant) {
-        self.slow_pause = (self.slow_pause * 2).clamp(FIRST_SLOW_PAUSE, LONGEST_SLOW_PAUSE);
-        self.pause_for(self.slow_pause, now);
+    /// Ejects a server that has become slow.
+    pub fn eject_slow(&mut self, now: Instant) {
+        self.slow_ejection = (self.slow_ejection * 2).clamp(MIN_SLOW_EJECTION, MAX_SLOW_EJECTION);
+        self.eject_for(self.slow_ejection, now);
     }
 
-    /// Says whether the server is left alone for now.
-    pub fn is_paused(&self, now: Instant) -> bool {
-        self.paused_until.is_some_and(|until| now < until)
+    /// Returns whether the server is ejected and should get no requests.
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Says whether the server gets one request at a time until it answers well.
-    pub fn is_on_trial(&self) -> bool {
-        self.is_on_trial
+    /// Returns whether the server gets at most one request at a time, as after a failure until its
+    /// next success.
+    pub fn is_half_open(&self) -> bool {
+        self.is_half_open
     }
 
-    fn note_share(&mut self, failure: f64) {
-        self.failure_share += (failure - self.failure_share) / FAILURE_DIVISOR;
+    fn update_failure_rate(&mut self, failure: f64) {
+        self.failure_rate += (failure - self.failure_rate) / FAILURE_RATE_DIVISOR;
     }
 
-    fn lengthen_pause(&mut self, now: Instant) {
-        self.pause = (self.pause * 2).clamp(FIRST_PAUSE, LONGEST_PAUSE);
-        self.is_on_trial = true;
-        self.pause_for(self.pause, now);
+    fn lengthen_ejection(&mut self, now: Instant) {
+        self.ejection = (self.ejection * 2).clamp(MIN_EJECTION, MAX_EJECTION);
+        self.is_half_open = true;
+        self.eject_for(self.ejection, now);
     }
 
-    fn pause_for(&mut self, pause: Duration, now: Instant) {
-        let until = now + pause;
-        self.paused_until = Some(self.paused_until.map_or(until, |known| known.max(until)));
+    fn eject_for(&mut self, ejection: Duration, now: Instant) {
+        let until = now + ejection;
+        self.ejected_until = Some(self.ejected_until.map_or(until, |known| known.max(until)));
     }
 }
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -1,4 +1,4 @@
-//! The servers of one service as one entry sees them, and the choice among them.
+//! One entry's state of the servers of one service, and the choice of a server for a request.
 
 use crate::{
     AttemptOutcome, CandidateLoad, ColdRamp, LatencyTracker, MedianBound, ServerHealth,
@@ -13,126 +13,133 @@
 };
 use types::{EntryName, ServerIncarnation, ServerName, ServerRecord, ServerStage, SuspectKind};
 
-/// How long a suspicion holds if the server's owner does not tell of it anew.
-const SUSPICION_LIMIT: Duration = Duration::from_secs(5);
+/// Time for which a suspected server gets no requests, unless its owner sends a changed record first.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time after which a latency counts as unknown.
+/// Age of the last sample from which a server's latency counts as unknown.
 const LATENCY_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// How a service's servers are used.
+/// Settings for the choice among the servers of a service.
 #[derive(Clone)]
 pub struct LoadSettings {
-    /// Concurrent requests that a cold server bears.
+    /// Initial limit on concurrent requests at a cold server.
     pub cold_concurrency: u16,
-    /// The greatest share of a service's servers that are left alone for bad health, in percent.
+    /// Maximum share of a service's servers that are ejected for bad health, in percent.
     pub max_paused_percent: usize,
-    /// Choice among servers with room.
+    /// Policy for the choice among servers below their limits.
     pub selector: Arc<dyn ServerSelector>,
 }
 
-/// A server as the directory tells of it.
+/// A server as known from the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerView {
-    /// Its announcement and stage.
+    /// Announcement and stage.
     pub record: ServerRecord,
-    /// Its owner.
+    /// Owner of the server.
     pub owner: EntryName,
-    /// This entry is the owner and may give it work while it is cold.
+    /// Whether this entry is the owner and may send it requests while it is cold.
     pub may_warm: bool,
-    /// Its failure domain is out of service.
+    /// Whether the server's failure domain is drained.
     pub is_drained: bool,
 }
 
 #[derive(Debug, Clone)]
-struct ServerLoad {
+struct TrackedServer {
     view: ServerView,
     in_flight: u32,
     latency: LatencyTracker,
+    /// Time of the last latency sample.
     sampled: Option<Instant>,
+    /// Requests in flight by the last load report, and the time of the report.
     report: Option<(u32, Instant)>,
     health: ServerHealth,
     slowness: MedianBound,
+    /// Slow start, if this entry owns the server and it is cold.
     ramp: Option<ColdRamp>,
-    /// Suspected in this incarnation, until its owner tells of it anew or this time passes.
+    /// End of the suspicion of this incarnation, unless its owner sends a changed record first.
     suspected_until: Option<Instant>,
 }
 
-/// A server that was picked, with one request counted as in flight there.
+/// A picked server, at which one request is counted as in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PickedServer {
-    /// Name.
+    /// Name of the server.
     pub name: ServerName,
-    /// Address.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Incarnation at the time of the choice.
+    /// Incarnation when it was picked.
     pub incarnation: ServerIncarnation,
-    /// Its owner.
+    /// Owner of the server.
     pub owner: EntryName,
 }
 
-/// What a choice came to.
+/// Result of picking a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PickResult {
-    /// This server.
+    /// The picked server.
     Picked(PickedServer),
-    /// There are servers, but none has room now.
+    /// All servers that this entry may use are at their limits.
     Busy,
-    /// No server may be given work by this entry. Other owners have cold ones.
+    /// There is no server to which this entry may send requests.
     NoneEligible {
-        /// Those owners.
+        /// Owners of cold servers of this service, which may send them requests.
         cold_owners: SmallVec<[EntryName; 2]>,
     },
 }
 
-/// What the end of a request showed.
+/// State changes of a server found at the end of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReleaseNotes {
-    /// The cold server has proved itself.
+    /// Whether the server has completed its slow start.
     pub is_warm: bool,
-    /// The server has become slow and is left alone for a while.
+    /// Whether the server has become slow and was ejected.
     pub is_slow: bool,
-    /// The server is to be reported to its owner.
+    /// Suspicion to report to the server's owner, if any.
     pub suspicion: Option<SuspectKind>,
 }
 
 /// The servers of one service.
 ///
-/// Invariant: a cold server never has more requests in flight than its ramp allows, and none
-/// unless this entry is its owner.
+/// Invariant: a cold server gets a request only if this entry is its owner and has fewer requests in
+/// flight there than its ramp allows.
 pub struct ServiceLoad {
     settings: LoadSettings,
-    servers: Vec<ServerLoad>,
+    servers: Vec<TrackedServer>,
 }
 
 impl ServiceLoad {
-    /// Returns a service without servers.
+    /// Returns an empty set of servers.
     pub fn new(settings: LoadSettings) -> Self {
         Self { settings, servers: Vec::new() }
     }
 
-    /// Changes what a cold server bears, for ramps that start from now on.
+    /// Sets the initial limit of a cold server, for ramps that start later.
     pub fn set_cold_concurrency(&mut self, cold_concurrency: u16) {
         self.settings.cold_concurrency = cold_concurrency;
     }
 
-    /// Takes the directory's current account over. What was seen of a server is kept while its
-    /// incarnation stays the same.
+    /// Replaces the servers by the directory's current ones. Latency, health and other state of a
+    /// server is kept while its incarnation stays the same.
     pub fn update(&mut self, views: Vec<ServerView>) {
-        let mut former = std::mem::take(&mut self.servers);
+        let mut previous = std::mem::take(&mut self.servers);
         for view in views {
             let name = &view.record.announcement.server;
-            let position = former.iter().position(|s| s.view.record.announcement.server == *name);
-            let known = position.map(|position| former.swap_remove(position));
+            let position = previous.iter().position(|s| s.view.record.announcement.server == *name);
+            let known = position.map(|position| previous.swap_remove(position));
             self.servers.push(self.settings.updated(known, view));
         }
-        // Servers with requests in flight stay until those end, but get no new ones.
-        for mut left in former.into_iter().filter(|server| server.in_flight > 0) {
-            left.view.record.stage = ServerStage::Leaving;
-            self.servers.push(left);
+        // Removed servers stay until their requests in flight have ended, but get no new ones.
+        for mut removed in previous.into_iter().filter(|server| server.in_flight > 0) {
+            removed.view.record.stage = ServerStage::Leaving;
+            self.servers.push(removed);
         }
     }
 
-    /// Picks a server for one request. `is_confirmed` says whether a shard owner's word still holds.
+    /// Picks a server for one request and counts the request as in flight there.
+    ///
+    /// Skips the servers in `excluded` and those of owners whose records are out of date, for which
+    /// `is_confirmed` returns false. With `prefers_cold`, a cold server owned by this entry is picked
+    /// first if one is below its limit.
     pub fn pick(
         &mut self,
         excluded: &[ServerName],
@@ -151,7 +158,7 @@
                 server.candidate(is_usable, typical, now)
             })
             .collect();
-        self.readmit_some(&mut candidates, excluded, &is_confirmed, now);
+        self.readmit_ejected(&mut candidates, excluded, &is_confirmed, now);
         let cold = prefers_cold.then(|| self.pick_cold(&candidates)).flatten();
         let chosen = cold.or_else(|| self.settings.selector.pick(&candidates, rng));
         if let Some(index) = chosen {
@@ -165,7 +172,7 @@
         PickResult::NoneEligible { cold_owners: self.cold_owners(is_confirmed) }
     }
 
-    /// Returns the owners of cold servers that only they may give work.
+    /// Returns the owners of the cold servers to which this entry may not send requests.
     pub fn cold_owners(
         &self,
         is_confirmed: impl Fn(&EntryName) -> bool,
@@ -183,7 +190,8 @@
         owners
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request at a picked server. Updates only the count of requests in flight
+    /// if the server has restarted since.
     pub fn release(
         &mut self,
         picked: &PickedServer,
@@ -203,28 +211,28 @@
         if server.view.record.announcement.incarnation != picked.incarnation {
             return ReleaseNotes::default();
         }
-        let mut notes = server.note(outcome, stated, now);
+        let mut notes = server.record_end(outcome, stated, now);
         if let AttemptOutcome::Success(latency) = outcome {
             notes.is_slow = server.slowness.note(latency, typical);
             if notes.is_slow {
-                server.health.note_slow(now);
+                server.health.eject_slow(now);
             }
         }
         notes
     }
 
-    /// Says whether this entry may give any server work, now or once one has room.
+    /// Returns whether this entry may send requests to any server, now or once it is below its limit.
     pub fn has_eligible(&self, is_confirmed: impl Fn(&EntryName) -> bool, now: Instant) -> bool {
         self.servers.iter().any(|server| server.limit(now) > 0 && is_confirmed(&server.view.owner))
     }
 
-    /// Says whether a cold server of this owner has room.
+    /// Returns whether a cold server owned by this entry is below its limit.
     pub fn has_own_cold(&self, now: Instant) -> bool {
-        let has_room = |server: &ServerLoad| server.in_flight < server.limit(now);
+        let has_room = |server: &TrackedServer| server.in_flight < server.limit(now);
         self.servers.iter().any(|server| server.ramp.is_some() && has_room(server))
     }
 
-    /// Says whether a server has answered lately.
+    /// Returns whether a server has answered a request successfully within the last second.
     pub fn has_answered_lately(&self, server: &ServerName, now: Instant) -> bool {
         let found =
             self.servers.iter().find(|known| known.view.record.announcement.server == *server);
@@ -236,18 +244,22 @@
         self.servers.iter().map(|server| server.in_flight).sum()
     }
 
-    /// Returns the number of requests that this entry may have in flight.
+    /// Returns the number of requests that this entry may have in flight at all servers together.
     pub fn capacity(&self, now: Instant) -> u32 {
         self.servers.iter().map(|server| server.limit(now)).sum()
     }
 
-    /// Checks the invariant.
+    /// Checks that no server has more requests in flight than slots.
+    ///
+    /// # Errors
+    ///
+    /// Describes the first violation found.
     pub fn verify(&self) -> Result<(), String> {
         for server in &self.servers {
             let slots = u32::from(server.view.record.announcement.slots);
             if server.in_flight > slots.max(1) {
                 return Err(format!(
-                    "{} has {} requests in flight, more than its slots",
+                    "server {} has {} requests in flight, but only {slots} slots",
                     server.view.record.announcement.server, server.in_flight
                 ));
             }
@@ -255,7 +267,8 @@
         Ok(())
     }
 
-    /// Returns the median of the servers' median latencies, which a few slow ones do not move.
+    /// Returns the median of the servers' median latencies, which is robust against a few slow
+    /// servers. Zero if no latency is known.
     fn typical_latency(&self) -> Duration {
         let known = self.servers.iter().filter(|server| server.latency.samples() > 0);
         let mut medians: SmallVec<[Duration; 16]> =
@@ -264,30 +277,30 @@
         medians.get(medians.len() / 2).copied().unwrap_or_default()
     }
 
-    /// Lets paused servers back in where too many would be left alone: bad health of most servers
-    /// says more about the service than about each of them.
-    fn readmit_some(
+    /// Readmits ejected servers beyond the maximum share, each with a limit of one request. If most
+    /// servers are in bad health, the cause is probably the service rather than the servers.
+    fn readmit_ejected(
         &self,
         candidates: &mut [CandidateLoad],
         excluded: &[ServerName],
         is_confirmed: impl Fn(&EntryName) -> bool,
         now: Instant,
     ) {
-        let is_paused = |server: &ServerLoad, candidate: &CandidateLoad| {
+        let is_ejected = |server: &TrackedServer, candidate: &CandidateLoad| {
             candidate.limit == 0
-                && server.health.is_paused(now)
+                && server.health.is_ejected(now)
                 && !server.is_suspected(now)
-                && server.unpaused_limit() > 0
+                && server.limit_when_admitted() > 0
                 && is_confirmed(&server.view.owner)
                 && !excluded.contains(&server.view.record.announcement.server)
         };
         let pairs = || self.servers.iter().zip(candidates.iter());
-        let open = candidates.iter().filter(|candidate| candidate.limit > 0).count();
-        let paused = pairs().filter(|(server, candidate)| is_paused(server, candidate)).count();
-        let allowed = (open + paused) * self.settings.max_paused_percent / 100;
-        let mut excess = paused.saturating_sub(allowed);
+        let eligible = candidates.iter().filter(|candidate| candidate.limit > 0).count();
+        let ejected = pairs().filter(|(server, candidate)| is_ejected(server, candidate)).count();
+        let allowed = (eligible + ejected) * self.settings.max_paused_percent / 100;
+        let mut excess = ejected.saturating_sub(allowed);
         for (server, candidate) in self.servers.iter().zip(candidates.iter_mut()) {
-            if excess > 0 && is_paused(server, candidate) {
+            if excess > 0 && is_ejected(server, candidate) {
                 candidate.limit = 1;
                 excess -= 1;
             }
@@ -301,28 +314,29 @@
     }
 }
 
-/// What a server states about itself on an answer.
+/// What a server reports about itself in an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StatedLoad {
-    /// Requests in flight there.
+    /// Requests in flight at the server.
     pub load: Option<u32>,
-    /// Its incarnation.
+    /// Current incarnation.
     pub incarnation: Option<ServerIncarnation>,
-    /// It is leaving.
+    /// Whether the server is leaving.
     pub is_leaving: bool,
 }
 
 impl LoadSettings {
-    fn updated(&self, known: Option<ServerLoad>, view: ServerView) -> ServerLoad {
+    /// Returns the state of a server after an update, given its previous state.
+    fn updated(&self, known: Option<TrackedServer>, view: ServerView) -> TrackedServer {
         let incarnation = |view: &ServerView| view.record.announcement.incarnation;
         let in_flight = known.as_ref().map_or(0, |server| server.in_flight);
         let mut server = match known {
             Some(server) if incarnation(&server.view) == incarnation(&view) => {
-                let is_retold = server.view.record != view.record;
-                let suspected_until = server.suspected_until.filter(|_| !is_retold);
-                ServerLoad { suspected_until, ..server }
+                let has_changed = server.view.record != view.record;
+                let suspected_until = server.suspected_until.filter(|_| !has_changed);
+                TrackedServer { suspected_until, ..server }
             }
-            _ => ServerLoad {
+            _ => TrackedServer {
                 view: view.clone(),
                 in_flight,
                 latency: LatencyTracker::default(),
@@ -347,8 +361,8 @@
     }
 }
 
-impl ServerLoad {
-    /// Returns what the choice goes by. A server of unknown latency counts as a typical one.
+impl TrackedServer {
+    /// Returns the load by which servers are compared. An unknown latency counts as the typical one.
     fn candidate(&self, is_usable: bool, typical: Duration, now: Instant) -> CandidateLoad {
         let known = self.recent_latency(now);
         let age = |at: Instant| now.saturating_duration_since(at);
@@ -360,22 +374,28 @@
         }
     }
 
-    /// Returns the mean latency, or zero for "unknown" where the last sample is old: a server that
-    /// was slow once must get work again to show that it has recovered.
+    /// Returns the mean latency, or zero for "unknown" if the last sample is old: a server that was
+    /// slow must get requests again to show that it has recovered.
     fn recent_latency(&self, now: Instant) -> Duration {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < LATENCY_MAX_AGE;
         if self.sampled.is_some_and(is_recent) { self.latency.mean() } else { Duration::ZERO }
     }
 
+    /// Returns the number of requests that this entry may have in flight at the server.
     fn limit(&self, now: Instant) -> u32 {
-        if self.health.is_paused(now) || self.is_suspected(now) { 0 } else { self.unpaused_limit() }
+        if self.health.is_ejected(now) || self.is_suspected(now) {
+            0
+        } else {
+            self.limit_when_admitted()
+        }
     }
 
     fn is_suspected(&self, now: Instant) -> bool {
         self.suspected_until.is_some_and(|until| now < until)
     }
 
-    fn unpaused_limit(&self) -> u32 {
+    /// Returns the limit that applies while the server is neither ejected nor suspected.
+    fn limit_when_admitted(&self) -> u32 {
         if self.view.is_drained {
             return 0;
         }
@@ -384,7 +404,7 @@
             (ServerStage::Cold, Some(ramp)) => ramp.limit(),
             (ServerStage::Cold, None) | (ServerStage::Leaving, _) => 0,
         };
-        if self.health.is_on_trial() { limit.min(1) } else { limit }
+        if self.health.is_half_open() { limit.min(1) } else { limit }
     }
 
     fn picked(&self) -> PickedServer {
@@ -397,8 +417,13 @@
         }
     }
 
-    fn note(&mut self, outcome: AttemptOutcome, stated: &StatedLoad, now: Instant) -> ReleaseNotes {
-        self.health.note(outcome, now);
+    fn record_end(
+        &mut self,
+        outcome: AttemptOutcome,
+        stated: &StatedLoad,
+        now: Instant,
+    ) -> ReleaseNotes {
+        self.health.record(outcome, now);
         if let Some(load) = stated.load {
             self.report = Some((load, now));
         }
@@ -410,20 +435,21 @@
             self.sampled = Some(now);
         }
         let is_warm = match (&mut self.ramp, outcome) {
-            (Some(ramp), AttemptOutcome::Success(_)) => ramp.note_success(),
+            (Some(ramp), AttemptOutcome::Success(_)) => ramp.record_success(),
             (Some(_), AttemptOutcome::Cancelled) | (None, _) => false,
             (Some(ramp), _) => {
-                ramp.note_failure();
+                ramp.record_failure();
                 false
             }
         };
         let suspicion = self.suspicion(outcome, stated, now);
         if suspicion.is_some() {
-            self.suspected_until = Some(now + SUSPICION_LIMIT);
+            self.suspected_until = Some(now + SUSPICION_TIMEOUT);
         }
         ReleaseNotes { is_warm, is_slow: false, suspicion }
     }
 
+    /// Returns the suspicion that the end of a request raises, unless there is one already.
     fn suspicion(
         &self,
         outcome: AttemptOutcome,
@@ -449,7 +475,8 @@
     }
 }
 
-/// Returns how long a request that joins `waiting` others will wait, given the mean latency.
+/// Returns the expected wait of a request queued behind `waiting` others, given the number of
+/// concurrent requests and their mean latency.
 pub fn expected_wait(waiting: usize, capacity: u32, latency: Duration) -> Duration {
     latency.mul_f64((waiting + 1) as f64 / f64::from(capacity.max(1)))
 }
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -47,16 +47,16 @@
 fn a_ramp_opens_and_starts_over_after_a_failure() {
     let mut ramp = ColdRamp::new(1, 3);
     let mut successes = 0;
-    while !ramp.note_success() {
+    while !ramp.record_success() {
         successes += 1;
         assert!(successes < 100, "the ramp never opens");
     }
     assert_eq!(ramp.limit(), 3);
     assert!(successes <= 24);
-    ramp.note_failure();
+    ramp.record_failure();
     assert_eq!(ramp.limit(), 1);
     let mut wide = ColdRamp::new(1, 256);
-    let successes = (0..1_000).take_while(|_| !wide.note_success()).count();
+    let successes = (0..1_000).take_while(|_| !wide.record_success()).count();
     assert!(successes < 150, "{successes} answers to open a server of 256 slots");
 }
 
