--- a/crates/policy/src/directory.rs
+++ b/crates/policy/src/directory.rs
@@ -1,7 +1,8 @@
-//! An entry's directory of all servers, put together from what their owners tell.
+//! An entry's directory of all servers, merged from the registries of their owners.
 //!
-//! Only the owner that the replicated table names for a server is believed about it, and only
-//! while its beats are heard.
+//! A server's records count only from the owner that the replicated view names for it, and only
+//! while that owner's heartbeats arrive. Until that owner has sent a record, a former owner's record
+//! of a warm server is used.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,48 +13,51 @@
     RegistryRequest, RegistryVersion, ServerName, ServerRecord, ServerStage, ServiceName,
 };
 
-/// How long a shard owner's word holds without a beat.
+/// Time without a heartbeat after which a shard owner's records are no longer acted on.
 pub const BEAT_LIMIT: Duration = Duration::from_secs(2);
 
+/// The copy of one owner's registry.
 #[derive(Debug)]
-struct OwnerAccount {
+struct RegistryCopy {
     incarnation: EntryIncarnation,
     version: RegistryVersion,
+    /// Latest time at which the copy is known to have been current.
     confirmed: Instant,
     servers: BTreeMap<ServerName, ServerRecord>,
 }
 
-/// A server with its owner.
+/// A server's record with the owner that sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DirectoryServer {
-    /// The server.
+    /// The owner's record of it.
     pub record: ServerRecord,
-    /// Its owner.
+    /// The owner that sent the record.
     pub owner: EntryName,
 }
 
-/// All servers that an entry has been told of.
+/// All servers known to an entry.
 #[derive(Debug, Default)]
 pub struct ServerDirectory {
-    accounts: BTreeMap<EntryName, OwnerAccount>,
-    /// Which servers each service has, with the owners that told of them.
+    copies: BTreeMap<EntryName, RegistryCopy>,
+    /// Servers of each service, with the owners that sent records of them.
     services: BTreeMap<ServiceName, BTreeSet<(ServerName, EntryName)>>,
 }
 
 impl ServerDirectory {
-    /// Takes a beat in. Returns the request to pull with if this entry is behind.
+    /// Applies a heartbeat of an owner. Returns the request for the changes that this entry lacks, if
+    /// any.
     pub fn observe_beat(&mut self, beat: &OwnerBeat, now: Instant) -> Option<RegistryRequest> {
-        let account = self
-            .accounts
+        let copy = self
+            .copies
             .get_mut(&beat.owner.entry)
-            .filter(|account| account.incarnation == beat.owner.incarnation);
-        match account {
-            Some(account) if account.version >= beat.version => {
-                account.confirmed = now;
+            .filter(|copy| copy.incarnation == beat.owner.incarnation);
+        match copy {
+            Some(copy) if copy.version >= beat.version => {
+                copy.confirmed = now;
                 None
             }
-            Some(account) => {
-                let (incarnation, since) = (account.incarnation, account.version);
+            Some(copy) => {
+                let (incarnation, since) = (copy.incarnation, copy.version);
                 Some(RegistryRequest { incarnation, since })
             }
             None => {
@@ -63,28 +67,26 @@
         }
     }
 
-    /// Takes a delta in, which was asked for at `asked`. Returns the services that changed.
+    /// Applies a delta that was requested at `asked`. Returns the services whose servers changed.
     pub fn apply(&mut self, delta: &RegistryDelta, asked: Instant) -> BTreeSet<ServiceName> {
         let mut changed = BTreeSet::new();
         let owner = &delta.owner.entry;
-        let is_known = self
-            .accounts
-            .get(owner)
-            .is_some_and(|account| account.incarnation == delta.owner.incarnation);
+        let is_known =
+            self.copies.get(owner).is_some_and(|copy| copy.incarnation == delta.owner.incarnation);
         if !is_known || delta.is_whole {
-            changed.extend(self.forget(owner));
-            let account = OwnerAccount {
+            changed.extend(self.remove_owner(owner));
+            let copy = RegistryCopy {
                 incarnation: delta.owner.incarnation,
                 version: RegistryVersion(0),
                 confirmed: asked,
                 servers: BTreeMap::new(),
             };
-            self.accounts.insert(owner.clone(), account);
+            self.copies.insert(owner.clone(), copy);
         }
-        let Some(account) = self.accounts.get_mut(owner) else {
+        let Some(copy) = self.copies.get_mut(owner) else {
             return changed;
         };
-        if delta.version < account.version {
+        if delta.version < copy.version {
             return changed;
         }
         for change in &delta.changes {
@@ -92,13 +94,13 @@
                 RegistryChange::Put(record) => {
                     let name = record.announcement.server.clone();
                     let service = record.announcement.service.clone();
-                    account.servers.insert(name.clone(), record.clone());
+                    copy.servers.insert(name.clone(), record.clone());
                     let servers = self.services.entry(service.clone()).or_default();
                     servers.insert((name, owner.clone()));
                     changed.insert(service);
                 }
                 RegistryChange::Remove(name) => {
-                    if let Some(record) = account.servers.remove(name) {
+                    if let Some(record) = copy.servers.remove(name) {
                         let service = record.announcement.service;
                         if let Some(servers) = self.services.get_mut(&service) {
                             servers.remove(&(name.clone(), owner.clone()));
@@ -108,53 +110,56 @@
                 }
             }
         }
-        account.version = delta.version;
-        account.confirmed = account.confirmed.max(asked);
+        copy.version = delta.version;
+        copy.confirmed = copy.confirmed.max(asked);
         changed
     }
 
-    /// Forgets what entries said that are no longer registered. Returns the services that changed.
+    /// Drops the records of owners that are not in the view. Returns the services whose servers
+    /// changed.
     pub fn retain_entries(&mut self, view: &ClusterView) -> BTreeSet<ServiceName> {
         let gone: Vec<EntryName> =
-            self.accounts.keys().filter(|name| view.entry(name).is_none()).cloned().collect();
-        gone.iter().flat_map(|name| self.forget(name)).collect()
+            self.copies.keys().filter(|name| view.entry(name).is_none()).cloned().collect();
+        gone.iter().flat_map(|name| self.remove_owner(name)).collect()
     }
 
     /// Returns the servers of a service.
     ///
-    /// Each is as its rightful owner tells. While that one has not told of a server yet, the
-    /// word of a former owner holds, if the server was warm.
+    /// The record of a server's current owner is used. Until that owner has sent one, the record of
+    /// a former owner is used if the server was warm.
     pub fn servers(&self, service: &ServiceName, view: &ClusterView) -> Vec<DirectoryServer> {
         let Some(known) = self.services.get(service) else {
             return Vec::new();
         };
         let mut chosen: BTreeMap<&ServerName, (bool, DirectoryServer)> = BTreeMap::new();
         for (server, owner) in known {
-            let account = self.accounts.get(owner);
-            let told = account.and_then(|account| account.servers.get(server));
-            let Some(record) = told.filter(|record| record.announcement.service == *service) else {
+            let copy = self.copies.get(owner);
+            let known_record = copy.and_then(|copy| copy.servers.get(server));
+            let Some(record) =
+                known_record.filter(|record| record.announcement.service == *service)
+            else {
                 continue;
             };
             let lease = view.server_lease(server);
-            let is_rightful = lease.is_some_and(|lease| lease.owner == *owner);
-            if !is_rightful && record.stage != ServerStage::Warm {
+            let is_current = lease.is_some_and(|lease| lease.owner == *owner);
+            if !is_current && record.stage != ServerStage::Warm {
                 continue;
             }
-            let is_better = chosen.get(server).is_none_or(|(rightful, _)| !rightful);
+            let is_better = chosen.get(server).is_none_or(|(is_current, _)| !is_current);
             if is_better {
                 let found = DirectoryServer { record: record.clone(), owner: owner.clone() };
-                chosen.insert(server, (is_rightful, found));
+                chosen.insert(server, (is_current, found));
             }
         }
         chosen.into_values().map(|(_, server)| server).collect()
     }
 
-    /// Returns all servers that any owner tells of, in the latest account.
+    /// Returns the latest record of every server from any owner.
     pub fn all_records(&self) -> BTreeMap<&ServerName, &ServerRecord> {
         let mut latest: BTreeMap<&ServerName, &ServerRecord> = BTreeMap::new();
         let order =
             |record: &ServerRecord| (record.announcement.incarnation, record.announcement.sequence);
-        for (name, record) in self.accounts.values().flat_map(|account| &account.servers) {
+        for (name, record) in self.copies.values().flat_map(|copy| &copy.servers) {
             let known = latest.entry(name).or_insert(record);
             if order(record) > order(known) {
                 *known = record;
@@ -163,28 +168,28 @@
         latest
     }
 
-    /// Returns what any owner, rightful or not, last told of a server.
+    /// Returns the latest record of a server from any owner, current or former.
     pub fn last_record(&self, server: &ServerName) -> Option<&ServerRecord> {
-        let told = self.accounts.values().filter_map(|account| account.servers.get(server));
-        told.max_by_key(|record| (record.announcement.incarnation, record.announcement.sequence))
+        let records = self.copies.values().filter_map(|copy| copy.servers.get(server));
+        records.max_by_key(|record| (record.announcement.incarnation, record.announcement.sequence))
     }
 
-    /// Returns when each owner's word was last confirmed.
+    /// Returns the time at which each owner's records were last known to be current.
     pub fn confirmations(&self) -> impl Iterator<Item = (&EntryName, Instant)> {
-        self.accounts.iter().map(|(name, account)| (name, account.confirmed))
+        self.copies.iter().map(|(name, copy)| (name, copy.confirmed))
     }
 
-    /// Returns all services with at least one server.
+    /// Returns the services with at least one server.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         self.services.iter().filter(|(_, servers)| !servers.is_empty()).map(|(name, _)| name)
     }
 
-    fn forget(&mut self, owner: &EntryName) -> BTreeSet<ServiceName> {
-        let Some(account) = self.accounts.remove(owner) else {
+    fn remove_owner(&mut self, owner: &EntryName) -> BTreeSet<ServiceName> {
+        let Some(copy) = self.copies.remove(owner) else {
             return BTreeSet::new();
         };
         let mut changed = BTreeSet::new();
-        for (name, record) in account.servers {
+        for (name, record) in copy.servers {
             let service = record.announcement.service;
             if let Some(servers) = self.services.get_mut(&service) {
                 servers.remove(&(name, owner.clone()));
--- a/crates/policy/src/entry_ranking.rs
+++ b/crates/policy/src/entry_ranking.rs
@@ -1,12 +1,12 @@
-//! Which entries a caller should use for a service.
+//! Preferred entries of the callers of a service.
 
 use types::{ClusterView, EntryInfo, ServiceName};
 
-/// Returns the serving entries outside drained failure domains, best first for a service
-/// (rendezvous hashing), at most `limit`.
+/// Returns at most `limit` serving entries outside drained failure domains, in the order of
+/// rendezvous hashing by service.
 ///
-/// All entries rank alike, so that each service's requests come together at few entries, whose own
-/// counts of requests in flight then cover most of its load.
+/// Every entry computes the same order, so that the requests of a service arrive at few entries.
+/// Their own counts of requests in flight then cover most of the service's load.
 pub fn rank_entries<'a>(
     view: &'a ClusterView,
     service: &ServiceName,
@@ -21,7 +21,7 @@
     ranked
 }
 
-/// Returns a well-mixed hash of two names (FNV-1a with the finaliser of MurmurHash3).
+/// Returns the rendezvous hash of two names: FNV-1a with the finalizer of MurmurHash3.
 fn weight(service: &str, entry: &str) -> u64 {
     let bytes = service.bytes().chain(std::iter::once(0)).chain(entry.bytes());
     let mut hash = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
--- a/crates/policy/src/registry.rs
+++ b/crates/policy/src/registry.rs
@@ -1,7 +1,7 @@
-//! A shard owner's registry of the servers it looks after.
+//! A shard owner's registry of the servers in its shard.
 //!
-//! Every change gets the next version, so that entries pull just what they lack. What must stop
-//! work (leaving and gone servers) is sent ahead of its turn.
+//! Every change gets the next version, so that entries pull only the changes they lack. Leaving and
+//! removed servers are sent out of turn, because they must stop getting requests.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -13,36 +13,38 @@
     SuspectKind, SuspectReport,
 };
 
-/// How long an announcement holds.
+/// Time for which a server stays registered without a new announcement.
 pub const ANNOUNCEMENT_LEASE: Duration = Duration::from_secs(10);
-/// Changes sent in one answer, besides the urgent ones.
-const DELTA_LIMIT: usize = 256;
-/// Removals remembered for entries that are behind.
-const REMOVAL_LIMIT: usize = 4_096;
+/// Maximum number of changes in one answer, besides those sent out of turn.
+const MAX_DELTA_CHANGES: usize = 256;
+/// Maximum number of removals kept for entries that are behind. Entries behind by more get the whole
+/// registry.
+const MAX_KEPT_REMOVALS: usize = 4_096;
 
 /// What an announcement changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnnounceOutcome {
-    /// The server is new, or has started anew.
+    /// The server is new or has restarted.
     Started,
-    /// Another state or address.
+    /// The state, address, slots or failure domain changed.
     Changed,
-    /// Nothing but the lease.
+    /// Only the lease was renewed.
     Renewed,
-    /// Older than what is known; ignored.
+    /// The announcement is older than the known one and was ignored.
     Stale,
 }
 
 #[derive(Debug, Clone)]
 struct RegisteredServer {
     record: ServerRecord,
+    /// Registry version of the latest change.
     changed: RegistryVersion,
-    lease_until: Instant,
+    lease_expiry: Instant,
 }
 
-/// The servers of one owner.
+/// The registered servers of one shard owner.
 ///
-/// Invariants: no server's change is newer than the registry's version; a server that announces
+/// Invariants: no server changed after the registry's version; a server that announces
 /// `starting` or `leaving` is never cold or warm.
 #[derive(Debug)]
 pub struct ServerRegistry {
@@ -50,7 +52,8 @@
     version: RegistryVersion,
     servers: BTreeMap<ServerName, RegisteredServer>,
     removals: VecDeque<(RegistryVersion, ServerName)>,
-    forgotten: RegistryVersion,
+    /// Version of the latest removal that was dropped from `removals`.
+    pruned: RegistryVersion,
 }
 
 impl ServerRegistry {
@@ -61,7 +64,7 @@
             version: RegistryVersion(0),
             servers: BTreeMap::new(),
             removals: VecDeque::new(),
-            forgotten: RegistryVersion(0),
+            pruned: RegistryVersion(0),
         }
     }
 
@@ -75,41 +78,41 @@
         &self.owner
     }
 
-    /// Returns a server.
+    /// Returns the record of a server, if it is registered.
     pub fn get(&self, server: &ServerName) -> Option<&ServerRecord> {
         self.servers.get(server).map(|entry| &entry.record)
     }
 
-    /// Returns all servers.
+    /// Returns the records of all servers, by name.
     pub fn records(&self) -> impl Iterator<Item = &ServerRecord> {
         self.servers.values().map(|entry| &entry.record)
     }
 
-    /// Takes an announcement in. A server is cold when it is new here or has started anew, unless
-    /// `known_stage` says that this same incarnation was warm under its former owner.
+    /// Applies an announcement. A server that is new here or has restarted is cold, unless
+    /// `known_stage` gives the stage of this incarnation under its former owner.
     pub fn announce(
         &mut self,
         announcement: &Announcement,
         known_stage: Option<ServerStage>,
         now: Instant,
     ) -> AnnounceOutcome {
-        let lease_until = now + ANNOUNCEMENT_LEASE;
+        let lease_expiry = now + ANNOUNCEMENT_LEASE;
         let former = self.servers.get_mut(&announcement.server);
         let order = |a: &Announcement| (a.incarnation, a.sequence);
         if former.as_ref().is_some_and(|f| order(announcement) < order(&f.record.announcement)) {
             return AnnounceOutcome::Stale;
         }
-        let same_start =
+        let same_incarnation =
             former.filter(|f| f.record.announcement.incarnation == announcement.incarnation);
-        let Some(entry) = same_start else {
+        let Some(entry) = same_incarnation else {
             let stage = match announcement.state {
                 ServerState::Ready => known_stage.unwrap_or(ServerStage::Cold),
                 ServerState::Starting | ServerState::Leaving => ServerStage::Leaving,
             };
-            self.put(ServerRecord { announcement: announcement.clone(), stage }, lease_until);
+            self.put(ServerRecord { announcement: announcement.clone(), stage }, lease_expiry);
             return AnnounceOutcome::Started;
         };
-        entry.lease_until = lease_until;
+        entry.lease_expiry = lease_expiry;
         let known = &entry.record.announcement;
         let is_same = known.state == announcement.state
             && known.address == announcement.address
@@ -124,23 +127,23 @@
             (ServerState::Ready, _) => ServerStage::Cold,
             _ => ServerStage::Leaving,
         };
-        self.put(ServerRecord { announcement: announcement.clone(), stage }, lease_until);
+        self.put(ServerRecord { announcement: announcement.clone(), stage }, lease_expiry);
         AnnounceOutcome::Changed
     }
 
-    /// Takes a server over from its former owner, unless this registry knows it already.
+    /// Takes over a server from its former owner, unless it is already registered.
     pub fn adopt(&mut self, record: &ServerRecord, now: Instant) {
         if !self.servers.contains_key(&record.announcement.server) {
             self.put(record.clone(), now + ANNOUNCEMENT_LEASE);
         }
     }
 
-    /// Marks a cold server as warm, if it is still in that incarnation.
+    /// Marks a cold server of this incarnation as warm. Returns whether its stage changed.
     pub fn mark_warm(&mut self, server: &ServerName, incarnation: ServerIncarnation) -> bool {
         self.set_stage(server, incarnation, ServerStage::Cold, ServerStage::Warm)
     }
 
-    /// Takes a suspicion in. Returns whether it changed the server's stage.
+    /// Applies a report of a suspected server. Returns whether the server's stage changed.
     pub fn suspect(&mut self, report: &SuspectReport) -> bool {
         let (server, incarnation) = (&report.server, report.incarnation);
         match report.kind {
@@ -154,26 +157,26 @@
         }
     }
 
-    /// Removes the servers whose lease has run out, and returns them.
+    /// Removes the servers whose lease has expired, and returns their names.
     pub fn expire(&mut self, now: Instant) -> Vec<ServerName> {
-        let is_expired = |(_, entry): &(&ServerName, &RegisteredServer)| entry.lease_until <= now;
+        let is_expired = |(_, entry): &(&ServerName, &RegisteredServer)| entry.lease_expiry <= now;
         let expired: Vec<ServerName> =
             self.servers.iter().filter(is_expired).map(|(name, _)| name.clone()).collect();
         expired.iter().for_each(|name| self.remove(name));
         expired
     }
 
-    /// Returns what an entry lacks.
+    /// Returns the changes that an entry lacks, or the whole registry where these are not known.
     pub fn delta(&self, request: &RegistryRequest) -> RegistryDelta {
         let is_whole = request.incarnation != self.owner.incarnation
-            || request.since < self.forgotten
+            || request.since < self.pruned
             || request.since > self.version;
         let since = if is_whole { RegistryVersion(0) } else { request.since };
         let mut newer: Vec<&RegisteredServer> =
             self.servers.values().filter(|entry| entry.changed > since).collect();
         newer.sort_by_key(|entry| entry.changed);
-        let version = match newer.get(DELTA_LIMIT) {
-            Some(first_left_out) => RegistryVersion(first_left_out.changed.0 - 1),
+        let version = match newer.get(MAX_DELTA_CHANGES) {
+            Some(first_omitted) => RegistryVersion(first_omitted.changed.0 - 1),
             None => self.version,
         };
         let is_sent = |entry: &&&RegisteredServer| {
@@ -192,14 +195,24 @@
     }
 
     /// Checks the invariants.
+    ///
+    /// # Errors
+    ///
+    /// Describes the first violation found.
     pub fn verify(&self) -> Result<(), String> {
         for (name, entry) in &self.servers {
             if entry.changed > self.version {
-                return Err(format!("{name} changed after the registry's version"));
+                return Err(format!(
+                    "server {name} changed at version {}, after the registry's version {}",
+                    entry.changed.0, self.version.0
+                ));
             }
             let is_ready = entry.record.announcement.state == ServerState::Ready;
             if !is_ready && entry.record.stage != ServerStage::Leaving {
-                return Err(format!("{name} is not ready, but may be given work"));
+                return Err(format!(
+                    "server {name} announces {:?} but is in stage {:?}",
+                    entry.record.announcement.state, entry.record.stage
+                ));
             }
         }
         Ok(())
@@ -215,30 +228,30 @@
         let Some(entry) = self.servers.get(server) else {
             return false;
         };
-        let is_meant = entry.record.announcement.incarnation == incarnation
+        let is_match = entry.record.announcement.incarnation == incarnation
             && entry.record.stage == from
             && entry.record.announcement.state == ServerState::Ready;
-        if is_meant {
-            let (record, lease) = (entry.record.clone(), entry.lease_until);
+        if is_match {
+            let (record, lease) = (entry.record.clone(), entry.lease_expiry);
             self.put(ServerRecord { stage: to, ..record }, lease);
         }
-        is_meant
+        is_match
     }
 
-    fn put(&mut self, record: ServerRecord, lease_until: Instant) {
+    fn put(&mut self, record: ServerRecord, lease_expiry: Instant) {
         self.version = RegistryVersion(self.version.0 + 1);
         let name = record.announcement.server.clone();
-        self.servers.insert(name, RegisteredServer { record, changed: self.version, lease_until });
+        self.servers.insert(name, RegisteredServer { record, changed: self.version, lease_expiry });
     }
 
     fn remove(&mut self, server: &ServerName) {
         self.servers.remove(server);
         self.version = RegistryVersion(self.version.0 + 1);
         self.removals.push_back((self.version, server.clone()));
-        if self.removals.len() > REMOVAL_LIMIT
+        if self.removals.len() > MAX_KEPT_REMOVALS
             && let Some((version, _)) = self.removals.pop_front()
         {
-            self.forgotten = version;
+            self.pruned = version;
         }
     }
 }
