--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,107 +1,109 @@
-//! Choice of a server from load reports that were asked for just before.
+//! Choice of a server by load reports requested for each placement.
 //!
-//! Load shifts within milliseconds, so that a cached report says little. An entry asks a few
-//! servers of the service for their load at the moment at which a request is to be placed, those of
-//! its own failure domain first, and takes the one with the least expected completion.
-//! docs/design/0008-platform.md compares this with other ways.
+//! Load changes within milliseconds, so that a cached report says little. To place a request, an
+//! entry asks a few servers of the service for their load, those in its own failure domain first,
+//! and takes the one with the lowest cost. docs/design/0008-platform.md compares this with
+//! alternatives.
 
 use std::time::Duration;
 
-/// Share of its slots above which a server slows down.
+/// Utilization above which a server slows down.
 const NEARLY_FULL: f64 = 0.8;
-/// How much longer work takes at a server that is nearly full.
+/// Factor on the service time at a server above that utilization.
 const NEARLY_FULL_FACTOR: f64 = 1.7;
-/// How much longer work takes at a cold server.
+/// Factor on the service time at a cold server.
 const COLD_FACTOR: f64 = 2.0;
-/// Part of the target latency that a server in another failure domain must be better by, for the
-/// bytes that cross domains.
+/// Cost of a server in another failure domain, as a part of the target latency. Accounts for the
+/// traffic between domains.
 const REMOTE_PENALTY: f64 = 0.15;
-/// Part of the target latency within which an expected completion is good enough to take at once.
+/// Part of the target latency within which a server must be expected to answer to be taken without
+/// asking others.
 const GOOD_ENOUGH: f64 = 0.7;
-/// Requests that may wait at a server, in multiples of its slots, before it counts as full.
-const MAX_QUEUE_SHARE: f64 = 1.0;
+/// Queue length at which a server counts as full, in multiples of its slots.
+const MAX_QUEUE_FACTOR: f64 = 1.0;
 
-/// Servers asked after which one that is expected to meet the target is taken.
-const ENOUGH_ASKED: usize = 5;
+/// Number of servers asked after which any that is expected to meet the target is taken.
+const MAX_ASKED_FOR_GOOD: usize = 5;
 
 /// A server's report of its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Requests in the queue.
     pub waiting: u32,
-    /// Requests that can run at the same time.
+    /// Maximum number of requests that run at the same time.
     pub slots: u32,
-    /// How long work takes at this moment, in percent of the usual time.
+    /// Current service time, in percent of the usual one.
     pub slowness_percent: u32,
 }
 
 impl ServerLoad {
-    /// Returns the load of an idle server, for servers that do not report any.
+    /// Returns the load of an idle server, assumed of servers that do not report their load.
     pub fn idle(slots: u32) -> Self {
         Self { running: 0, waiting: 0, slots, slowness_percent: 100 }
     }
 
-    /// Says whether one more request may not find a place.
+    /// Returns whether the queue may have no place for another request.
     pub fn is_full(&self) -> bool {
-        let room = f64::from(self.slots) * (1.0 + MAX_QUEUE_SHARE);
-        f64::from(self.running + self.waiting + 1) > room
+        let capacity = f64::from(self.slots) * (1.0 + MAX_QUEUE_FACTOR);
+        f64::from(self.running + self.waiting + 1) > capacity
     }
 }
 
-/// A server that answered, as seen by the entry that places a request.
+/// A server that reported its load to the entry that places a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementCandidate {
-    /// Its load.
+    /// Reported load.
     pub load: ServerLoad,
-    /// It is in the entry's failure domain.
+    /// Whether the server is in the entry's failure domain.
     pub is_local: bool,
-    /// It is cold.
+    /// Whether the server is cold.
     pub is_cold: bool,
-    /// It reports that it is not well.
+    /// Whether the server's health report is bad.
     pub is_ill: bool,
-    /// Share of the entry's recent requests that it failed, 0 to 1.
+    /// Share of the entry's recent requests to this server that failed, 0 to 1.
     pub failure_share: f64,
 }
 
-/// How full a server may be that a request is sent to.
+/// Free capacity that a server must have to get a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoomNeed {
-    /// It must be expected to answer within this time, be it from its queue.
+    /// The server must be expected to answer within this time, including the wait in its queue.
     Within(Duration),
-    /// At least one slot must stay free, for requests that are worth more.
+    /// At least one slot must stay free, for requests that can still meet their target.
     SpareSlot,
 }
 
-/// What a request needs.
+/// Requirements of a request on the server that runs it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementNeed {
-    /// Usual time of the work at an idle server.
+    /// Usual service time at an idle server.
     pub usual_work: Duration,
-    /// Time within which the answer is of full use.
+    /// Target latency of the route.
     pub target: Duration,
-    /// How full the server may be.
+    /// Free capacity that the server must have.
     pub room: RoomNeed,
 }
 
 impl PlacementNeed {
-    /// Returns the need of a request that has this much of its target latency left. Work that
-    /// takes longer than the target even at a server that is idle gets the time that it needs.
+    /// Returns the requirements of a request with `left` of its target latency remaining. A target
+    /// that even an idle server cannot meet is replaced by [`PlacementNeed::reachable_target`].
     pub fn within(usual_work: Duration, target: Duration, left: Duration) -> Self {
         let used = target.saturating_sub(left);
         let reachable = Self::reachable_target(usual_work, target);
         Self { usual_work, target, room: RoomNeed::Within(reachable.saturating_sub(used)) }
     }
 
-    /// Returns the target latency, or what the work needs at a nearly full server if that is more.
+    /// Returns the target latency, or 1.1 times the service time at a nearly full server if that is
+    /// longer.
     pub fn reachable_target(usual_work: Duration, target: Duration) -> Duration {
         target.max(usual_work.mul_f64(NEARLY_FULL_FACTOR * 1.1))
     }
 }
 
 impl PlacementCandidate {
-    /// Says whether the server has the room that a request needs.
+    /// Returns whether the server has the free capacity that a request needs.
     pub fn has_room(&self, need: &PlacementNeed) -> bool {
         match need.room {
             RoomNeed::Within(limit) => {
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Returns the time in which the server is expected to answer one more request.
+    /// Returns the time in which the server is expected to answer another request.
     pub fn expected_completion(&self, usual_work: Duration) -> Duration {
         let slots = f64::from(self.load.slots.max(1));
         let running = f64::from(self.load.running) + 1.0;
@@ -128,7 +130,7 @@
         usual_work.mul_f64(factor * (1.0 + ahead / slots))
     }
 
-    /// Says whether to take the server without asking others.
+    /// Returns whether to take the server without asking others.
     pub fn is_good_enough(&self, need: &PlacementNeed) -> bool {
         let limit = need.target.mul_f64(GOOD_ENOUGH).max(need.usual_work.mul_f64(1.05));
         !self.is_ill
@@ -137,17 +139,18 @@
             && self.expected_completion(need.usual_work) <= limit
     }
 
-    /// Says whether to take the server after so many others were asked: a good one at once, later
-    /// any that is expected to meet the target.
+    /// Returns whether to take the server, given the number of servers asked: a good one at once,
+    /// after a few others any healthy one that is expected to meet the target.
     pub fn is_acceptable(&self, need: &PlacementNeed, asked: usize) -> bool {
         self.is_good_enough(need)
-            || (asked >= ENOUGH_ASKED
+            || (asked >= MAX_ASKED_FOR_GOOD
                 && !self.is_ill
                 && self.has_room(need)
                 && self.expected_completion(need.usual_work) <= need.target)
     }
 
-    /// Returns the cost by which candidates are compared, in seconds.
+    /// Returns the cost by which candidates are compared, in seconds. A bad health report adds the
+    /// target latency.
     pub fn cost(&self, need: &PlacementNeed) -> f64 {
         let target = need.target.as_secs_f64();
         let mut cost = self.expected_completion(need.usual_work).as_secs_f64();
@@ -157,17 +160,17 @@
         if self.is_ill {
             cost += target;
         }
-        // A failed request costs at least its target latency.
+        // A failed request costs at least its target latency; it is weighted with twice that.
         cost + self.failure_share * 2.0 * target
     }
 }
 
-/// Returns the index of the cheapest candidate that has room, `None` if there is none.
+/// Returns the index of the cheapest candidate with the required capacity, or `None`.
 pub fn cheapest_candidate(
     candidates: &[PlacementCandidate],
     need: &PlacementNeed,
 ) -> Option<usize> {
-    let open = candidates.iter().enumerate().filter(|(_, candidate)| candidate.has_room(need));
-    let best = open.min_by(|(_, a), (_, b)| a.cost(need).total_cmp(&b.cost(need)));
+    let eligible = candidates.iter().enumerate().filter(|(_, candidate)| candidate.has_room(need));
+    let best = eligible.min_by(|(_, a), (_, b)| a.cost(need).total_cmp(&b.cost(need)));
     best.map(|(index, _)| index)
 }
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,44 +1,46 @@
-//! Choice of a server among those that may take a request.
+//! Choice among the servers that may get a request.
 //!
-//! docs/design/0007-selection.md compares it with other ways.
+//! docs/design/0007-selection.md compares the selector used here with alternatives.
 
 use rand::{Rng, RngCore};
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// What an entry knows of one server's load.
+/// The load of one server as known to an entry.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CandidateLoad {
-    /// This entry's requests in flight there.
+    /// This entry's requests in flight at the server.
     pub in_flight: u32,
-    /// The most that this entry may have in flight there.
+    /// Maximum number of requests that this entry may have in flight at the server.
     pub limit: u32,
-    /// Mean latency seen by this entry; zero if none yet.
+    /// Mean latency measured by this entry, or zero if unknown.
     pub latency: Duration,
-    /// The server's latest load report and its age.
+    /// Requests in flight by the server's latest load report, and the age of the report.
     pub report: Option<(u32, Duration)>,
 }
 
 impl CandidateLoad {
-    /// Says whether this entry may send the server one more request.
+    /// Returns whether this entry may send the server another request.
     pub fn has_room(&self) -> bool {
         self.in_flight < self.limit
     }
 }
 
-/// Picks a server.
+/// Policy that picks a server for a request.
 pub trait ServerSelector: Send + Sync {
-    /// Returns the index of a candidate with room, `None` if there is none.
+    /// Returns the index of a candidate below its limit, or `None` if there is none.
     fn pick(&self, candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize>;
 }
 
-/// Reports older than this count for nothing.
+/// Age from which a load report is ignored.
 const REPORT_MAX_AGE: Duration = Duration::from_millis(100);
-/// Latency assumed of a server that has not answered yet.
+/// Latency assumed of a server whose latency is unknown.
 const UNKNOWN_LATENCY: Duration = Duration::from_millis(1);
 
-/// Picks the one with the lower expected wait, of two drawn at random: latency times the requests
-/// ahead, where a load report counts the less the older it is.
+/// Picks the better of two random servers: the one with the lower expected wait.
+///
+/// The expected wait is the mean latency times the requests ahead. The weight of a load report in
+/// the requests ahead falls linearly with the age of the report.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LatencySelector;
 
@@ -53,8 +55,8 @@
     let own = f64::from(candidate.in_flight);
     let ahead = match candidate.report {
         Some((load, age)) if age < REPORT_MAX_AGE => {
-            let trust = 1.0 - age.as_secs_f64() / REPORT_MAX_AGE.as_secs_f64();
-            own + trust * (f64::from(load) - own).max(0.0)
+            let weight = 1.0 - age.as_secs_f64() / REPORT_MAX_AGE.as_secs_f64();
+            own + weight * (f64::from(load) - own).max(0.0)
         }
         _ => own,
     };
--- a/crates/policy/src/waiting_line.rs
+++ b/crates/policy/src/waiting_line.rs
@@ -1,77 +1,78 @@
-//! The order in which requests wait for a server with room.
+//! Priority queue of the requests that wait for a server with a free slot.
 //!
-//! While all servers are full, only the first in line asks them. Requests that can still meet their
-//! target go before those that have missed it, which are worth less to their callers but still
-//! served when there is room; then the more urgent route; then the earlier arrival.
+//! While all servers are full, only the request at the head of the queue asks them for their load.
+//! Requests that can still meet their target latency come first, then routes of higher priority,
+//! then earlier arrivals. Late requests are worth less to their callers but are still served when
+//! there is capacity.
 
 use std::{collections::BTreeMap, time::Instant};
 
-/// The place of a request in its line.
+/// Sort key of a waiting request; smaller ranks are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WaitRank {
-    /// The target latency has passed.
+    /// Whether the request can no longer meet its target latency.
     pub is_late: bool,
-    /// Rank of the route; 0 is the most urgent.
+    /// Priority of the route; 0 is the most urgent.
     pub priority: u8,
-    /// Arrival at this entry.
+    /// Time of arrival at this entry.
     pub arrived: Instant,
 }
 
-/// Identifies a waiting request.
+/// Identifies a waiting request in its queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WaitTicket {
     rank: WaitRank,
     number: u64,
 }
 
-/// Requests that wait, each with what wakes it.
+/// Waiting requests in the order of their ranks, each with its waker.
 #[derive(Debug)]
 pub struct WaitingLine<T> {
     waiting: BTreeMap<WaitTicket, T>,
-    next: u64,
+    next_number: u64,
 }
 
 impl<T> Default for WaitingLine<T> {
     fn default() -> Self {
-        Self { waiting: BTreeMap::new(), next: 0 }
+        Self { waiting: BTreeMap::new(), next_number: 0 }
     }
 }
 
 impl<T> WaitingLine<T> {
-    /// Says whether nobody waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Says whether a request of this rank would be first.
+    /// Returns whether a new request of this rank would be at the head of the queue.
     pub fn would_lead(&self, rank: &WaitRank) -> bool {
         self.waiting.first_key_value().is_none_or(|(first, _)| *rank < first.rank)
     }
 
-    /// Lets a request join.
+    /// Adds a request. Requests of equal rank keep their order of insertion.
     pub fn join(&mut self, rank: WaitRank, waker: T) -> WaitTicket {
-        let ticket = WaitTicket { rank, number: self.next };
-        self.next += 1;
+        let ticket = WaitTicket { rank, number: self.next_number };
+        self.next_number += 1;
         self.waiting.insert(ticket, waker);
         ticket
     }
 
-    /// Lets a request leave. Returns its waker, if it was there.
+    /// Removes a request. Returns its waker, or `None` if it is not in the queue.
     pub fn leave(&mut self, ticket: WaitTicket) -> Option<T> {
         self.waiting.remove(&ticket)
     }
 
-    /// Says whether a request is the first.
+    /// Returns whether a request is at the head of the queue.
     pub fn is_first(&self, ticket: WaitTicket) -> bool {
         self.waiting.first_key_value().is_some_and(|(first, _)| *first == ticket)
     }
 
-    /// Returns the waker of the first request.
+    /// Returns the waker of the request at the head of the queue.
     pub fn first(&self) -> Option<&T> {
         self.waiting.first_key_value().map(|(_, waker)| waker)
     }
