--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,20 +1,21 @@
-//! Admission by priority: as an entry fills up, the least important requests are refused first.
+//! Admission control by priority: as an entry fills up, the least important requests are refused
+//! first.
 
 use std::time::Duration;
 
-/// The least important priority.
+/// Least important priority; 0 is the most important.
 const LOWEST_PRIORITY: u8 = 9;
-/// The shortest time after which a refused caller is told to come back.
-const RETRY_AFTER_MIN: Duration = Duration::from_millis(200);
+/// Shortest time after which a refused caller is told to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Limits of an entry.
+/// Limits on the requests that an entry holds.
 #[derive(Debug, Clone)]
 pub struct AdmissionSettings {
-    /// Requests in flight and waiting, over all services.
+    /// Maximum number of requests in flight and waiting, over all services.
     pub max_in_flight: usize,
-    /// Share of the limit from which the least important are refused, in percent.
+    /// Share of the limit from which the least important requests are refused, in percent.
     pub lowest_share_percent: usize,
-    /// Share of the limit that one service may hold, in percent.
+    /// Share of the limit that the requests of one service may use, in percent.
     pub service_share_percent: usize,
 }
 
@@ -24,7 +25,7 @@
     }
 }
 
-/// Decides whether an entry takes a request in.
+/// Decides whether an entry admits a request.
 #[derive(Debug, Clone)]
 pub struct AdmissionGate {
     settings: AdmissionSettings,
@@ -36,15 +37,16 @@
         Self { settings }
     }
 
-    /// Says whether a request of this priority is admitted, given the requests held by the whole
-    /// entry and by its service.
+    /// Returns whether a request of this priority is admitted, given the number of requests that the
+    /// entry holds in total (`held`) and for the request's service.
     pub fn admits(&self, priority: u8, held: usize, held_by_service: usize) -> bool {
         let limit = self.settings.max_in_flight;
         let service_limit = (limit * self.settings.service_share_percent / 100).max(1);
         held < self.limit(priority) && held_by_service < service_limit
     }
 
-    /// Returns the number of held requests from which a priority is refused.
+    /// Returns the number of held requests from which a priority is refused. It falls linearly from
+    /// priority 0 to the least important one.
     fn limit(&self, priority: u8) -> usize {
         let low = self.settings.lowest_share_percent;
         let step = (100 - low) * usize::from(priority.min(LOWEST_PRIORITY));
@@ -53,9 +55,9 @@
     }
 }
 
-/// Returns the time after which a refused caller should come back: the time to work off what
-/// waits, spread by `spread` in `0.0..1.0` so that the refused do not return together.
+/// Returns the time after which a refused caller should retry: the time in which the backlog clears
+/// plus `spread` (0 to 1) times as long, so that callers refused together do not retry together.
 pub fn retry_after(backlog: Duration, spread: f64) -> Duration {
-    let base = backlog.max(RETRY_AFTER_MIN);
+    let base = backlog.max(MIN_RETRY_AFTER);
     base + base.mul_f64(spread.clamp(0.0, 1.0))
 }
--- a/crates/policy/src/caller_patience.rs
+++ b/crates/policy/src/caller_patience.rs
@@ -1,37 +1,41 @@
-//! How long the caller of a request has waited before this attempt.
+//! Estimate of the time that a caller has already spent on earlier attempts of a request.
 //!
-//! Callers state how long they still wait. The callers of one route start with similar times, so
-//! that one that states much less has spent the difference on attempts before.
+//! Each attempt carries the caller's remaining timeout. The callers of one route start with similar
+//! timeouts, so that a caller that states a much shorter one has spent the difference on earlier
+//! attempts.
 
 use std::time::{Duration, Instant};
 
-/// Time after which a longer wait that was stated once is forgotten.
-const MEMORY: Duration = Duration::from_secs(60);
+/// Time after which the longest stated timeout is discarded.
+const LONGEST_MAX_AGE: Duration = Duration::from_secs(60);
 
-/// Part of the longest wait above which a caller may be at its first attempt: callers' own limits
-/// differ by about a sixth.
+/// Part of the longest timeout from which an attempt counts as the caller's first: the initial
+/// timeouts of callers differ by about a sixth.
 const FIRST_ATTEMPT_SHARE: f64 = 0.8;
-/// Part of the longest wait with which callers start on average.
-const USUAL_SHARE: f64 = 0.92;
+/// Average initial timeout of callers, as a part of the longest.
+const MEAN_INITIAL_SHARE: f64 = 0.92;
 
-/// The waits that callers of one route state.
+/// The timeouts that the callers of one route state.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CallerPatience {
     longest: Duration,
-    noted: Option<Instant>,
+    /// Time at which `longest` was stated.
+    recorded: Option<Instant>,
 }
 
 impl CallerPatience {
-    /// Notes the wait that a caller states, and returns how long it has probably waited before.
+    /// Records the remaining timeout that a caller states, and returns the time that it has probably
+    /// spent on earlier attempts.
     pub fn note(&mut self, now: Instant, stated: Duration) -> Duration {
-        let is_forgotten =
-            self.noted.is_none_or(|noted| now.saturating_duration_since(noted) > MEMORY);
-        if is_forgotten || stated >= self.longest {
-            (self.longest, self.noted) = (stated, Some(now));
+        let is_expired = self
+            .recorded
+            .is_none_or(|recorded| now.saturating_duration_since(recorded) > LONGEST_MAX_AGE);
+        if is_expired || stated >= self.longest {
+            (self.longest, self.recorded) = (stated, Some(now));
         }
         if stated >= self.longest.mul_f64(FIRST_ATTEMPT_SHARE) {
             return Duration::ZERO;
         }
-        self.longest.mul_f64(USUAL_SHARE).saturating_sub(stated)
+        self.longest.mul_f64(MEAN_INITIAL_SHARE).saturating_sub(stated)
     }
 }
--- a/crates/policy/src/cold_share.rs
+++ b/crates/policy/src/cold_share.rs
@@ -1,18 +1,19 @@
-//! Shares of the work that a cold server bears, held without talking to other entries.
+//! Rate limit on requests to a cold server, kept without messages between entries.
 //!
-//! A few entries own a cold server, by rendezvous hash; each holds an equal share of its rate. No
-//! other entry sends it anything, so that the bound holds while entries cannot reach each other.
+//! Rendezvous hashing makes a few entries owners of a cold server, and each owner uses an equal
+//! share of its rate. Other entries send it nothing, so that the limit holds while entries cannot
+//! reach each other.
 
 use std::time::{Duration, Instant};
 use types::{EntryName, ServerName};
 
-/// Entries that may send work to one cold server.
+/// Number of entries that may send requests to one cold server.
 pub const COLD_OWNERS: usize = 3;
-/// Part of the rate that a cold server bears which is given out. The rest covers the time in which
-/// entries disagree about who they are.
+/// Part of a cold server's rate that its owners use. The rest covers the time in which entries
+/// disagree about the set of entries.
 const RATE_SHARE: f64 = 0.8;
 
-/// Says whether an entry is among the owners of a cold server.
+/// Returns whether an entry is among the owners of a cold server.
 pub fn owns_cold_server<'a>(
     entry: &EntryName,
     entries: impl Iterator<Item = &'a EntryName>,
@@ -23,26 +24,27 @@
     ahead.count() < COLD_OWNERS
 }
 
-/// One owner's share of the rate of a cold server: one request at a time, evenly spaced.
+/// One owner's share of the rate of a cold server, granted as evenly spaced single requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ColdAllowance {
-    next: Option<Instant>,
+    next_due: Option<Instant>,
 }
 
 impl ColdAllowance {
-    /// Takes one request, if the share of the server's rate (in thousandths a second) has one.
+    /// Takes one request from the share of a server that runs `rate_milli` thousandths of a request
+    /// a second. Returns whether one was available.
     pub fn take(&mut self, now: Instant, rate_milli: u32) -> bool {
-        if rate_milli == 0 || self.next.is_some_and(|next| now < next) {
+        if rate_milli == 0 || self.next_due.is_some_and(|next_due| now < next_due) {
             return false;
         }
         let share = f64::from(rate_milli) / 1_000.0 * RATE_SHARE / COLD_OWNERS as f64;
-        self.next = Some(now + Duration::from_secs_f64(1.0 / share));
+        self.next_due = Some(now + Duration::from_secs_f64(1.0 / share));
         true
     }
 
-    /// Says whether [`ColdAllowance::take`] would grant a request.
+    /// Returns whether [`ColdAllowance::take`] would grant a request at a rate above 0.
     pub fn has_room(&self, now: Instant) -> bool {
-        self.next.is_none_or(|next| now >= next)
+        self.next_due.is_none_or(|next_due| now >= next_due)
     }
 }
 
--- a/crates/policy/src/first_routes.rs
+++ b/crates/policy/src/first_routes.rs
@@ -1,33 +1,34 @@
-//! How long requests wait for the first routes of an entry that has just started.
+//! How long requests wait for the routes of an entry that has just started.
 //!
 //! Replicas that start together with the entry elect a leader and send a view within a fraction of
-//! a second. A caller that was sent away would come back later than its answer could be there.
+//! a second. A caller refused in that time would retry later than it could have had its answer.
 
 use std::time::{Duration, Instant};
 
-/// Bounds on the wait for first routes.
+/// Limits on the wait for the first routes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FirstRoutesTerms {
-    /// Time after the start of an entry within which routes are expected. After that the replicas
-    /// are away for longer, and requests are refused at once.
+    /// Time after the start of an entry within which routes are expected. Without routes by then,
+    /// the replicas are assumed to be unavailable for longer, and requests are refused at once.
     pub expected_within: Duration,
-    /// The longest wait of one request.
+    /// Longest wait of one request.
     pub max_wait: Duration,
 }
 
 impl Default for FirstRoutesTerms {
     fn default() -> Self {
-        // Twice the time that the slowest entry of 132 needed when everything started again.
+        // Twice the time that the slowest of 132 entries needed after a restart of all processes.
         let expected_within = Duration::from_secs(1);
-        // With the usual work after it, still within most target latencies.
+        // Leaves time for the usual work within most target latencies.
         let max_wait = Duration::from_millis(600);
         Self { expected_within, max_wait }
     }
 }
 
 impl FirstRoutesTerms {
-    /// Returns until when a request waits that arrives at an entry without routes, `None` if it is
-    /// refused at once. `time_allowed` is what the caller gave.
+    /// Returns the time until which a request waits that arrives at an entry without routes, or
+    /// `None` if it is refused at once. `time_allowed` is the caller's timeout; at most half of it
+    /// is spent on the wait.
     pub fn wait_until(
         &self,
         started: Instant,
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -1,4 +1,4 @@
-//! The gate that an entry passes directly before it starts new work.
+//! Check that an entry makes directly before it starts new work.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -6,29 +6,30 @@
 };
 use types::FRESHNESS_LIMIT;
 
-/// Knows until when the view of this entry may be acted on.
-///
-/// Time is kept in microseconds since the gate was made, so that checks need no lock. The value 0
-/// means that the view was never confirmed.
+/// Allows new work while the entry's view was confirmed within [`FRESHNESS_LIMIT`].
 #[derive(Debug)]
 pub struct FreshnessGate {
     origin: Instant,
+    /// Time of the latest confirmation, in microseconds since `origin`, or 0 if there was none. An
+    /// atomic integer, so that checks need no lock.
     fresh_as_of_us: AtomicU64,
 }
 
 impl FreshnessGate {
-    /// Returns a closed gate.
+    /// Returns a gate that stays closed until the first confirmation. `origin` is the time from which
+    /// it counts.
     pub fn new(origin: Instant) -> Self {
         Self { origin, fresh_as_of_us: AtomicU64::new(0) }
     }
 
-    /// Notes that the view was confirmed by a request sent at `sent`. Older news changes nothing.
+    /// Records that the view was confirmed by a request sent at `sent`. Has no effect if a later
+    /// request has confirmed it already.
     pub fn confirm(&self, sent: Instant) {
         let since = sent.saturating_duration_since(self.origin).as_micros() as u64;
         self.fresh_as_of_us.fetch_max(since.max(1), Ordering::AcqRel);
     }
 
-    /// Says whether new work may start.
+    /// Returns whether new work may start.
     pub fn is_open(&self, now: Instant) -> bool {
         let fresh_as_of = self.fresh_as_of_us.load(Ordering::Acquire);
         let elapsed = now.saturating_duration_since(self.origin).as_micros() as u64;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,6 +1,6 @@
-//! Decisions: pure functions and small state machines without I/O.
+//! Load-balancing policies: pure functions and small state machines without I/O.
 //!
-//! Time is an argument everywhere, so that tests and measurements run at any speed.
+//! Functions take the current time as an argument, so that tests and benchmarks need no real clock.
 
 mod admission;
 mod caller_patience;
--- a/crates/policy/src/return_plan.rs
+++ b/crates/policy/src/return_plan.rs
@@ -1,29 +1,29 @@
-//! When a refused caller is told to come back.
+//! Backoff that a refused caller is told.
 
 use std::time::Duration;
 
-/// The shortest wait that a refused caller is told.
-const MIN_WAIT: Duration = Duration::from_millis(50);
-/// The longest wait that a refused caller is told.
-const MAX_WAIT: Duration = Duration::from_secs(2);
+/// Shortest backoff.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// When servers are expected to take a request that was refused.
+/// Time at which servers are expected to have capacity for a refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoomOutlook {
-    /// At once: the server that refused had free slots, and another one will run it.
+    /// Now: the server that refused the request had free slots, so that another server will run it.
     Now,
     /// After this time.
     After(Duration),
 }
 
-/// Returns the time after which a refused caller should come back: when there will be room, and
-/// then spread evenly over as long again, so that those refused together do not return together.
-/// `draw` is uniform from 0 to 1.
+/// Returns the time after which a refused caller should retry: the time until there is capacity,
+/// plus a random part of up to the same length, so that callers refused together do not retry
+/// together. `draw` is a uniform random number from 0 to 1.
 pub fn plan_return(outlook: RoomOutlook, draw: f64) -> Duration {
-    let until_room = match outlook {
-        RoomOutlook::Now => MIN_WAIT,
+    let until_capacity = match outlook {
+        RoomOutlook::Now => MIN_BACKOFF,
         RoomOutlook::After(wait) => wait,
     };
-    let earliest = until_room.clamp(MIN_WAIT, MAX_WAIT / 2);
+    let earliest = until_capacity.clamp(MIN_BACKOFF, MAX_BACKOFF / 2);
     earliest.mul_f64(1.0 + draw.clamp(0.0, 1.0))
 }
--- a/crates/policy/src/shared_budget.rs
+++ b/crates/policy/src/shared_budget.rs
@@ -1,24 +1,24 @@
-//! One entry's share of the budget of repeated sends that all entries have together.
+//! One entry's share of the retry budget of all entries.
 //!
-//! Each entry keeps to a share of the slack, and to a part of its own requests. The sum then holds
-//! without any message between entries.
+//! Each entry limits its retries to a fraction of its own requests and a share of the slack, so that
+//! the total stays within the budget without messages between entries.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// Part of the budget that entries use; the rest covers entries that the view does not show yet.
+/// Part of the budget that entries use. The rest covers entries that are not in the view yet.
 const USED_SHARE: f64 = 0.75;
 
-/// The budget that all entries have together, for each service.
+/// The retry budget of all entries together, for each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetTerms {
-    /// Repeated sends for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Repeated sends beyond those, within a window.
+    /// Additional retries within a window.
     pub slack: u32,
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
@@ -28,39 +28,39 @@
     }
 }
 
-/// This entry's share for one service.
+/// Requests and retries of this entry within the window, for one service.
 #[derive(Debug, Clone, Default)]
 pub struct SharedBudget {
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl SharedBudget {
-    /// Notes a request.
+    /// Records a request.
     pub fn note_request(&mut self, now: Instant, terms: &BudgetTerms) {
-        self.forget(now, terms);
+        self.drop_expired(now, terms);
         self.requests.push_back(now);
     }
 
-    /// Takes one repeated send, if the share of one of `entries` entries has one.
+    /// Takes one retry, given the number of entries. Returns whether this entry's share allowed it.
     pub fn take(&mut self, now: Instant, terms: &BudgetTerms, entries: usize) -> bool {
-        self.forget(now, terms);
+        self.drop_expired(now, terms);
         let slack = f64::from(terms.slack) / entries.max(1) as f64;
         let allowed = USED_SHARE * (terms.ratio * self.requests.len() as f64 + slack);
-        let is_granted = (self.repeats.len() + 1) as f64 <= allowed;
+        let is_granted = (self.retries.len() + 1) as f64 <= allowed;
         if is_granted {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         is_granted
     }
 
-    fn forget(&mut self, now: Instant, terms: &BudgetTerms) {
-        let is_old = |time: &Instant| now.saturating_duration_since(*time) > terms.window;
-        while self.requests.front().is_some_and(is_old) {
+    fn drop_expired(&mut self, now: Instant, terms: &BudgetTerms) {
+        let is_expired = |time: &Instant| now.saturating_duration_since(*time) > terms.window;
+        while self.requests.front().is_some_and(is_expired) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(is_old) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(is_expired) {
+            self.retries.pop_front();
         }
     }
 }
