--- a/crates/policy/src/slow.rs
+++ b/crates/policy/src/slow.rs
@@ -18,7 +18,7 @@
 /// quantiles with applications to A/B testing and best-arm identification" (equation 1): with
 /// probability `1 - alpha`, the median lies between the sample quantiles `1/2 - u(t)` and
 /// `1/2 + u(t)` at all times t simultaneously. The sample quantile `1/2 - u(t)` exceeds a limit
-/// exactly when less than that fraction of the samples is within_limit the limit, so that counting is
+/// exactly when less than that fraction of the samples is within the limit, so that counting is
 /// enough.
 #[derive(Debug, Clone)]
 pub struct MedianBound {
