--- a/crates/policy/examples/bench_slow.rs
+++ b/crates/policy/examples/bench_slow.rs
@@ -1,5 +1,6 @@
-//! Measures ways of detecting slow servers: false ejections an hour on healthy noise, and the time
-//! to eject a server that becomes three times slower. Simulated latencies, 100 a second a server.
+//! Compares detectors of slow servers by false ejections an hour of a healthy server, and by the time
+//! to eject a server that becomes three times slower. Latencies are simulated, 100 a second for each
+//! server.
 //!
 //! Run: `cargo run --release -p hawthornhill-policy --example bench_slow`
 
@@ -7,16 +8,17 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::time::Duration;
 
-/// Answers of a server, a second.
-const RATE: u32 = 100;
-/// Simulated hours of a healthy server.
-const HOURS: u32 = 20;
+/// Answers of a server a second.
+const ANSWERS_PER_S: u32 = 100;
+/// Simulated time of a healthy server, in hours.
+const HEALTHY_HOURS: u32 = 20;
 /// Simulated servers that become slow.
 const SLOW_RUNS: u32 = 500;
 
-/// Says when a server has become slow.
+/// Detects whether a server has become slow.
 trait SlowDetector {
-    /// Notes one latency of the server, given the service's typical one.
+    /// Records one latency of the server, given the service's typical latency. Returns whether the
+    /// server counts as slow.
     fn note(&mut self, latency: Duration, typical: Duration) -> bool;
 }
 
@@ -26,7 +28,8 @@
     }
 }
 
-/// A server is slow when the mean of a number of latencies exceeds a multiple of the typical one.
+/// Reports a server as slow when the mean of `window` latencies exceeds `factor` times the typical
+/// latency.
 #[derive(Debug, Clone)]
 struct MeanThreshold {
     window: u32,
@@ -54,9 +57,9 @@
     }
 }
 
-/// Shapes of healthy latencies with a median of about 1 ms.
+/// Distributions of healthy latencies with a median of about 1 ms.
 #[derive(Debug, Clone, Copy)]
-enum Noise {
+enum LatencyNoise {
     Exponential,
     /// One answer in fifty takes 30 times as long.
     HeavyTail,
@@ -64,15 +67,17 @@
     Bursts,
 }
 
-fn draw(noise: Noise, number: u32, rng: &mut SmallRng) -> Duration {
+fn sample_latency(noise: LatencyNoise, number: u32, rng: &mut SmallRng) -> Duration {
     let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
     let exponential = 0.3 - uniform.ln();
     let ms = match noise {
-        Noise::Exponential => exponential,
-        Noise::HeavyTail if rng.random_bool(0.02) => 30.0 * exponential,
-        Noise::HeavyTail => exponential,
-        Noise::Bursts if number % (4 * RATE) < RATE / 5 => 5.0 * exponential,
-        Noise::Bursts => exponential,
+        LatencyNoise::Exponential => exponential,
+        LatencyNoise::HeavyTail if rng.random_bool(0.02) => 30.0 * exponential,
+        LatencyNoise::HeavyTail => exponential,
+        LatencyNoise::Bursts if number % (4 * ANSWERS_PER_S) < ANSWERS_PER_S / 5 => {
+            5.0 * exponential
+        }
+        LatencyNoise::Bursts => exponential,
     };
     Duration::from_secs_f64(ms / 1_000.0)
 }
@@ -81,10 +86,10 @@
     let typical = Duration::from_millis(1);
     println!(
         "{:<24} {:<12} {:>16} {:>12} {:>12}",
-        "way", "noise", "false an hour", "eject p50 ms", "eject p99 ms"
+        "detector", "noise", "false an hour", "eject p50 ms", "eject p99 ms"
     );
-    type Maker = fn() -> Box<dyn SlowDetector>;
-    let ways: [(&str, Maker); 7] = [
+    type DetectorFactory = fn() -> Box<dyn SlowDetector>;
+    let detectors: [(&str, DetectorFactory); 7] = [
         ("mean of 16 over 2", || Box::new(MeanThreshold::new(16, 2.0))),
         ("mean of 64 over 2", || Box::new(MeanThreshold::new(64, 2.0))),
         ("bound 1e-6 of 1000", || Box::new(MedianBound::new(1.5, 1e-6, 1_000))),
@@ -93,35 +98,35 @@
         ("bound 1e-4 of 256", || Box::new(MedianBound::new(1.5, 1e-4, 256))),
         ("bound 1e-4 of 128", || Box::new(MedianBound::new(1.5, 1e-4, 128))),
     ];
-    for noise in [Noise::Exponential, Noise::HeavyTail, Noise::Bursts] {
-        for (name, make) in &ways {
+    for noise in [LatencyNoise::Exponential, LatencyNoise::HeavyTail, LatencyNoise::Bursts] {
+        for (name, make) in &detectors {
             let mut rng = SmallRng::seed_from_u64(1);
             let mut detector = make();
             let mut false_ejections = 0;
-            for number in 0..HOURS * 3_600 * RATE {
-                let latency = draw(noise, number, &mut rng);
+            for number in 0..HEALTHY_HOURS * 3_600 * ANSWERS_PER_S {
+                let latency = sample_latency(noise, number, &mut rng);
                 false_ejections += u32::from(detector.note(latency, typical));
             }
-            let mut times: Vec<u32> = Vec::new();
+            let mut times_ms: Vec<u32> = Vec::new();
             for run in 0..SLOW_RUNS {
                 let mut detector = make();
-                // The change comes at any moment of the detector's period.
+                // Varies the point in the detector's window at which the server becomes slow.
                 for number in 0..300 + run {
-                    detector.note(draw(noise, number, &mut rng), typical);
+                    detector.note(sample_latency(noise, number, &mut rng), typical);
                 }
                 let slow = (1..).find(|number| {
-                    let latency = 3 * draw(noise, 300 + run + number, &mut rng);
+                    let latency = 3 * sample_latency(noise, 300 + run + number, &mut rng);
                     detector.note(latency, typical)
                 });
-                times.push(slow.unwrap_or(u32::MAX) * 1_000 / RATE);
+                times_ms.push(slow.unwrap_or(u32::MAX) * 1_000 / ANSWERS_PER_S);
             }
-            times.sort_unstable();
+            times_ms.sort_unstable();
             println!(
                 "{name:<24} {:<12} {:>16.2} {:>12} {:>12}",
                 format!("{noise:?}"),
-                f64::from(false_ejections) / f64::from(HOURS),
-                times[times.len() / 2],
-                times[times.len() * 99 / 100]
+                f64::from(false_ejections) / f64::from(HEALTHY_HOURS),
+                times_ms[times_ms.len() / 2],
+                times_ms[times_ms.len() * 99 / 100]
             );
         }
     }
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets, the ramp and the freshness gate: what they grant over time.
+//! Limits over time: retry and probe budgets, slow start and the freshness gate.
 
 use hawthornhill_policy::{ColdRamp, FreshnessGate, ProbeBudget, RetryBudget};
 use proptest::prelude::*;
@@ -7,8 +7,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
+    /// A burst of failures must not let retries exceed their percentage of the requests, apart from
+    /// the one attempt that a new budget holds.
     #[test]
-    fn retries_stay_within_their_share(percent in 0..=100_u8, requests in 1..5_000_u32) {
+    fn retries_stay_within_their_percentage(percent in 0..=100_u8, requests in 1..5_000_u32) {
         let mut budget = RetryBudget::new(percent);
         let mut granted = 0;
         for _ in 0..requests {
@@ -18,10 +20,10 @@
         prop_assert!(granted * 100 <= requests * u32::from(percent) + 100);
     }
 
-    /// Probes of one server, in any window, never exceed the agreed rate, also when its owner
-    /// changes at any time.
+    /// A change of owner starts a new budget. The probes of one server must not exceed the rate in
+    /// any window of a minute, whenever the owner changes.
     #[test]
-    fn probes_stay_within_their_budget(
+    fn probes_stay_within_their_rate_when_the_owner_changes(
         rate in 1..600_u16, changes in proptest::collection::vec(0..60_000_u64, 0..8)
     ) {
         let start = Instant::now();
@@ -44,24 +46,24 @@
 }
 
 #[test]
-fn a_ramp_opens_and_starts_over_after_a_failure() {
+fn ramp_reaches_all_slots_and_starts_over_after_a_failure() {
     let mut ramp = ColdRamp::new(1, 3);
     let mut successes = 0;
     while !ramp.record_success() {
         successes += 1;
-        assert!(successes < 100, "the ramp never opens");
+        assert!(successes < 100, "the ramp never reaches all slots");
     }
     assert_eq!(ramp.limit(), 3);
     assert!(successes <= 24);
     ramp.record_failure();
     assert_eq!(ramp.limit(), 1);
-    let mut wide = ColdRamp::new(1, 256);
-    let successes = (0..1_000).take_while(|_| !wide.record_success()).count();
-    assert!(successes < 150, "{successes} answers to open a server of 256 slots");
+    let mut large = ColdRamp::new(1, 256);
+    let successes = (0..1_000).take_while(|_| !large.record_success()).count();
+    assert!(successes < 150, "{successes} successes to reach 256 slots");
 }
 
 #[test]
-fn the_gate_closes_two_seconds_after_the_request_that_confirmed_it() {
+fn freshness_gate_closes_two_seconds_after_the_confirming_request_was_sent() {
     let start = Instant::now();
     let gate = FreshnessGate::new(start);
     let at = |ms| start + Duration::from_millis(ms);
--- a/crates/policy/tests/first_routes.rs
+++ b/crates/policy/tests/first_routes.rs
@@ -1,5 +1,5 @@
-//! Load that meets an entry right after its start: everything lost power, and all callers are back
-//! before the first view.
+//! Requests that reach an entry before its first view, as after a power loss that restarts all
+//! processes while the callers keep sending.
 
 use hawthornhill_policy::FirstRoutesTerms;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn requests_after_a_loss_of_power_wait_while_routes_are_expected() {
+fn requests_after_a_power_loss_wait_while_routes_are_expected() {
     let (terms, started) = (FirstRoutesTerms::default(), Instant::now());
     let early = terms.wait_until(started, started + ms(100), None);
     assert_eq!(early, Some(started + ms(100) + terms.max_wait));
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn requests_are_refused_at_once_when_the_replicas_stay_away() {
+fn requests_are_refused_at_once_when_the_replicas_stay_unavailable() {
     let (terms, started) = (FirstRoutesTerms::default(), Instant::now());
     assert_eq!(terms.wait_until(started, started + terms.expected_within, None), None);
     assert_eq!(terms.wait_until(started, started + ms(60_000), None), None);
 }
 
 #[test]
-fn impatient_caller_keeps_half_of_its_time_for_another_entry() {
+fn wait_leaves_half_of_a_short_timeout_for_another_entry() {
     let (terms, started) = (FirstRoutesTerms::default(), Instant::now());
     let until = terms.wait_until(started, started, Some(ms(200)));
     assert_eq!(until, Some(started + ms(100)));
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,5 +1,5 @@
-//! Placing under load: which server, who waits, who is refused, when to come back. Each test names
-//! the pattern that it answers.
+//! Placement under load: choice of server, order of waiting requests, refusals and backoff. Each test
+//! names the load pattern or fault that it covers.
 
 use hawthornhill_policy::{
     BudgetTerms, COLD_OWNERS, CallerPatience, ColdAllowance, PlacementCandidate, PlacementNeed,
@@ -28,21 +28,21 @@
 }
 
 #[test]
-fn noisy_neighbour_makes_a_server_lose_to_a_remote_one_that_is_usual() {
+fn server_with_a_noisy_neighbour_loses_to_a_remote_one_at_usual_speed() {
     let candidates = [local(load(0, 0, 400)), remote(load(1, 0, 100))];
     assert!(!candidates[0].is_good_enough(&NEED));
     assert_eq!(cheapest_candidate(&candidates, &NEED), Some(1));
 }
 
 #[test]
-fn equal_servers_are_chosen_in_the_own_domain() {
+fn local_server_is_preferred_over_a_similar_remote_one() {
     let candidates = [remote(load(0, 0, 100)), local(load(1, 0, 100))];
     assert_eq!(cheapest_candidate(&candidates, &NEED), Some(1));
     assert!(candidates[1].is_good_enough(&NEED));
 }
 
 #[test]
-fn one_slow_server_is_left_to_requests_that_have_missed_their_target() {
+fn slow_server_gets_only_requests_that_have_missed_their_target() {
     let candidates = [local(load(3, 3, 100)), local(load(0, 0, 400)), remote(load(3, 4, 100))];
     assert_eq!(cheapest_candidate(&candidates, &NEED), None);
     let late = PlacementNeed { room: RoomNeed::SpareSlot, ..NEED };
@@ -50,14 +50,15 @@
 }
 
 #[test]
-fn burst_that_fills_all_servers_gets_none() {
+fn burst_that_fills_all_servers_is_not_placed() {
     let candidates = [local(load(3, 3, 100)), remote(load(3, 6, 100))];
     assert_eq!(cheapest_candidate(&candidates, &NEED), None);
 }
 
 #[test]
-fn burst_does_not_queue_at_servers_beyond_the_target() {
-    // From the queue the answer would take 120 ms * 1.7 * 4/3 = 272 ms, or with two ahead 340 ms.
+fn burst_does_not_queue_at_a_server_beyond_the_target() {
+    // Expected completion: 120 ms * 1.7 * 4/3 = 272 ms with an empty queue, 340 ms behind one waiting
+    // request.
     assert_eq!(cheapest_candidate(&[local(load(3, 0, 100))], &NEED), Some(0));
     assert_eq!(cheapest_candidate(&[local(load(3, 1, 100))], &NEED), None);
     let half_used = PlacementNeed::within(NEED.usual_work, NEED.target, NEED.target / 2);
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn work_that_never_meets_its_target_is_placed_all_the_same() {
+fn work_longer_than_its_target_is_still_placed() {
     let work = Duration::from_millis(500);
     let need = PlacementNeed::within(work, NEED.target, NEED.target);
     assert_eq!(cheapest_candidate(&[local(load(2, 0, 100))], &need), Some(0));
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn ill_server_is_used_when_nothing_else_is_left() {
+fn server_with_a_bad_health_report_is_used_as_a_last_resort() {
     let ill = PlacementCandidate { is_ill: true, ..local(load(0, 0, 100)) };
     assert!(!ill.is_good_enough(&NEED));
     assert_eq!(cheapest_candidate(&[ill, local(load(0, 0, 100))], &NEED), Some(1));
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn recovery_flood_leaves_a_slot_for_requests_that_can_still_meet_their_target() {
+fn late_requests_after_an_outage_leave_a_slot_for_those_within_their_target() {
     let late = PlacementNeed { room: RoomNeed::SpareSlot, ..NEED };
     assert_eq!(cheapest_candidate(&[local(load(1, 0, 100))], &late), Some(0));
     assert_eq!(cheapest_candidate(&[local(load(2, 0, 100))], &late), None);
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn recovery_flood_is_served_freshest_first() {
+fn backlog_after_an_outage_serves_late_requests_last() {
     let now = Instant::now();
     let rank = |is_late, priority, ms| WaitRank {
         is_late,
@@ -121,15 +122,15 @@
 }
 
 #[test]
-fn retrying_caller_is_recognised_by_the_wait_that_it_has_left() {
+fn retrying_caller_is_recognized_by_its_shorter_timeout() {
     let now = Instant::now();
     let mut patience = CallerPatience::default();
     assert_eq!(patience.note(now, Duration::from_millis(2_500)), Duration::ZERO);
     let left = Duration::from_millis(1_900);
     assert_eq!(patience.note(now, left), Duration::from_millis(400));
-    // Callers that start with a little less patience have not waited before.
+    // A slightly shorter timeout is within the spread of initial timeouts: a first attempt.
     assert_eq!(patience.note(now, Duration::from_millis(2_100)), Duration::ZERO);
-    // A wait that is stated no longer is forgotten.
+    // The longest timeout expires when it is no longer stated.
     assert_eq!(patience.note(now + Duration::from_secs(61), left), Duration::ZERO);
 }
 
@@ -145,7 +146,7 @@
         if millis % (1_000 / requests_a_second) == 0 {
             budget.note_request(now, &terms);
         }
-        // Every request would be repeated ten times.
+        // Retries each request about ten times: 62.5 a second against 6 requests a second.
         if millis % 16 == 0 && budget.take(now, &terms, entries) {
             granted.push(now);
         }
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn zone_returning_cold_is_owned_by_few_entries_and_kept_to_its_rate() {
+fn cold_servers_of_a_restarted_zone_have_few_owners_and_keep_their_rate() {
     let entries: Vec<EntryName> =
         (0..18).map(|n| format!("entry-{n}").parse().expect("a name")).collect();
     let start = Instant::now();
@@ -179,29 +180,30 @@
             }
         }
         for first in &sent {
-            let second =
+            let within_a_second =
                 sent.iter().filter(|t| *t >= first && **t - *first < Duration::from_secs(1));
-            // Stated bound: rate * 1.5 + 5 in any second.
-            assert!(second.count() <= 12);
+            // Required bound: rate * 1.5 + 5 in any second.
+            assert!(within_a_second.count() <= 12);
         }
         assert!(sent.len() >= 10, "the rate is used: {}", sent.len());
     }
 }
 
 #[test]
-fn callers_refused_together_do_not_return_together() {
-    let until_room = Duration::from_millis(120);
-    assert_eq!(plan_return(RoomOutlook::After(until_room), 0.0), until_room);
-    assert_eq!(plan_return(RoomOutlook::After(until_room), 1.0), 2 * until_room);
+fn callers_refused_together_do_not_retry_together() {
+    let until_capacity = Duration::from_millis(120);
+    assert_eq!(plan_return(RoomOutlook::After(until_capacity), 0.0), until_capacity);
+    assert_eq!(plan_return(RoomOutlook::After(until_capacity), 1.0), 2 * until_capacity);
     assert!(plan_return(RoomOutlook::After(Duration::ZERO), 0.0) > Duration::ZERO);
     assert!(
         plan_return(RoomOutlook::After(Duration::from_secs(60)), 1.0) <= Duration::from_secs(2)
     );
 }
 
-/// An entry that sees one request a second must not take a slow spell for the usual time.
+/// An entry with one request a second must not mistake a short series of slow answers for the usual
+/// service time.
 #[test]
-fn noisy_neighbour_does_not_move_the_usual_time_of_work() {
+fn noisy_neighbour_does_not_move_the_usual_service_time() {
     let mut usual = UsualWork::new(Duration::from_millis(120));
     for round in 0..200_u32 {
         // One answer in four takes four times as long.
@@ -215,10 +217,10 @@
     assert_eq!(usual.get(), Duration::from_millis(300));
 }
 
-/// Servers that shed a share of what they get at random, with free slots: a caller that comes back at
-/// once finds room within its target; one that waits for a slot to become free is late.
+/// Guards against servers that shed some requests at random while they have free slots: a caller that
+/// retries immediately still meets its target; one that waits for a slot to become free is late.
 #[test]
-fn caller_shed_by_a_server_with_room_comes_back_at_once() {
+fn caller_shed_by_a_server_with_free_slots_retries_immediately() {
     for draw in [0.0, 0.5, 1.0] {
         let wait = plan_return(RoomOutlook::Now, draw);
         assert!(wait > Duration::ZERO && wait <= Duration::from_millis(100), "{wait:?}");
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Registries, directories and the choice of servers: fault tables of what owners and servers may do.
+//! Registries, directories and the choice of servers under faults of owners and servers.
 
 use hawthornhill_policy::{
     AnnounceOutcome, AttemptOutcome, CandidateLoad, LatencySelector, LoadSettings, PickResult,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn late_repeated_and_reordered_announcements_change_nothing() {
+fn late_repeated_and_reordered_announcements_have_no_effect() {
     let now = Instant::now();
     let mut registry = ServerRegistry::new(owner("e", 1));
     let ready = announcement("x", 2, 5, ServerState::Ready);
@@ -67,12 +67,12 @@
     assert_eq!((stage(&registry, "x"), registry.version()), (Some(ServerStage::Leaving), version));
     let restarted = announcement("x", 3, 0, ServerState::Ready);
     assert_eq!(registry.announce(&restarted, None, now), AnnounceOutcome::Started);
-    assert_eq!(stage(&registry, "x"), Some(ServerStage::Cold), "a new start is cold");
+    assert_eq!(stage(&registry, "x"), Some(ServerStage::Cold), "a restarted server is cold");
     assert_eq!(registry.verify(), Ok(()));
 }
 
 #[test]
-fn suspicions_of_a_former_incarnation_change_nothing() {
+fn suspicions_of_a_former_incarnation_have_no_effect() {
     let now = Instant::now();
     let mut registry = ServerRegistry::new(owner("e", 1));
     registry.announce(&announcement("x", 2, 0, ServerState::Ready), None, now);
@@ -88,11 +88,14 @@
     assert_eq!(stage(&registry, "x"), Some(ServerStage::Cold));
     assert!(registry.suspect(&report(2, SuspectKind::Leaving)));
     assert_eq!(stage(&registry, "x"), Some(ServerStage::Leaving));
-    assert!(!registry.mark_warm(&name("x"), ServerIncarnation(2)), "a leaving server stays so");
+    assert!(
+        !registry.mark_warm(&name("x"), ServerIncarnation(2)),
+        "a leaving server does not become warm"
+    );
 }
 
 #[test]
-fn a_server_that_no_longer_announces_is_removed() {
+fn server_that_stops_announcing_is_removed() {
     let now = Instant::now();
     let mut registry = ServerRegistry::new(owner("e", 1));
     registry.announce(&announcement("x", 1, 0, ServerState::Ready), None, now);
@@ -101,8 +104,8 @@
     assert_eq!(stage(&registry, "x"), None);
 }
 
-/// Returns the state of a system whose entries are these.
-fn system(entries: &[&str]) -> ClusterState {
+/// Returns the replicated state of a cluster with these entries.
+fn cluster(entries: &[&str]) -> ClusterState {
     let mut state = ClusterState::default();
     for entry in entries {
         let address = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -131,16 +134,19 @@
 }
 
 #[test]
-fn only_the_rightful_owner_is_believed_about_a_cold_server() {
+fn cold_server_is_known_only_from_its_current_owner() {
     let now = Instant::now();
-    let state = system(&["a", "b"]);
+    let state = cluster(&["a", "b"]);
     let rightful = state.view().server_lease(&name("x")).expect("owner").owner.clone();
     let other = if rightful.as_str() == "a" { "b" } else { "a" };
     let mut wrong = ServerRegistry::new(owner(other, 1));
     wrong.announce(&announcement("x", 9, 0, ServerState::Ready), None, now);
     let mut directory = ServerDirectory::default();
     pull(&mut directory, &wrong, now);
-    assert!(directory.servers(&name("s"), state.view()).is_empty(), "two owners, one rightful");
+    assert!(
+        directory.servers(&name("s"), state.view()).is_empty(),
+        "the record is not from the current owner"
+    );
     let mut right = ServerRegistry::new(owner(rightful.as_str(), 1));
     right.announce(&announcement("x", 2, 0, ServerState::Leaving), None, now);
     pull(&mut directory, &right, now);
@@ -150,9 +156,9 @@
 }
 
 #[test]
-fn a_restarted_owner_is_read_anew() {
+fn records_of_an_owner_before_its_restart_are_dropped() {
     let now = Instant::now();
-    let state = system(&["a"]);
+    let state = cluster(&["a"]);
     let mut first = ServerRegistry::new(owner("a", 1));
     for server in ["x", "y", "z"] {
         first.announce(&announcement(server, 1, 0, ServerState::Ready), None, now);
@@ -164,23 +170,24 @@
     second.announce(&announcement("y", 1, 1, ServerState::Ready), None, now);
     pull(&mut directory, &second, now);
     let servers = directory.servers(&name("s"), state.view());
-    assert_eq!(servers.len(), 1, "what only the former self told of is forgotten");
+    assert_eq!(servers.len(), 1, "only records sent after the restart are kept");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(4), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens to a registry, and whichever deltas are lost, an entry that pulls until it is
-    /// up to date knows the same servers.
+    /// Guards against changes that are lost or applied in the wrong order: after any sequence of
+    /// registry changes and lost deltas, an entry that pulls until it is up to date has the records
+    /// of the registry.
     #[test]
-    fn pulls_lead_to_the_same_servers(
+    fn directory_converges_to_the_registry(
         steps in proptest::collection::vec((0..600_u64, 0..6_u8, any::<bool>()), 1..900)
     ) {
         let start = Instant::now();
-        let state = system(&["a"]);
+        let state = cluster(&["a"]);
         let mut registry = ServerRegistry::new(owner("a", 1));
         let mut directory = ServerDirectory::default();
-        for (number, (which, action, loses)) in steps.into_iter().enumerate() {
+        for (number, (which, action, is_lost)) in steps.into_iter().enumerate() {
             let now = start + Duration::from_millis(10 * number as u64);
             let server = format!("x{which}");
             match action {
@@ -196,7 +203,7 @@
                 4 => { registry.expire(now); }
                 _ => {
                     let beat = types::OwnerBeat { owner: registry.owner().clone(), version: registry.version() };
-                    if let Some(request) = directory.observe_beat(&beat, now) && !loses {
+                    if let Some(request) = directory.observe_beat(&beat, now) && !is_lost {
                         directory.apply(&registry.delta(&request), now);
                     }
                 }
@@ -207,7 +214,7 @@
         let known: Vec<ServerRecord> =
             directory.servers(&name("s"), state.view()).into_iter().map(|s| s.record).collect();
         let mut expected: Vec<ServerRecord> = registry.records().cloned().collect();
-        // A renewal alone is not sent, so the sequence numbers may differ.
+        // Renewals are not sent, so that sequence numbers may differ.
         expected.iter_mut().for_each(|record| record.announcement.sequence = 0);
         let mut known = known;
         known.iter_mut().for_each(|record| record.announcement.sequence = 0);
@@ -216,7 +223,7 @@
 }
 
 #[test]
-fn what_must_stop_work_is_sent_ahead_of_its_turn() {
+fn leaving_server_is_sent_out_of_turn() {
     let now = Instant::now();
     let mut registry = ServerRegistry::new(owner("a", 1));
     for number in 0..1_000 {
@@ -226,7 +233,7 @@
     registry.announce(&announcement("x0999", 1, 1, ServerState::Leaving), None, now);
     let request = RegistryRequest { incarnation: EntryIncarnation(1), since: RegistryVersion(0) };
     let delta = registry.delta(&request);
-    assert!(delta.changes.len() <= 257, "paced");
+    assert!(delta.changes.len() <= 257, "the other changes are limited");
     let is_leaving = |change: &types::RegistryChange| matches!(change, types::RegistryChange::Put(record) if record.stage == ServerStage::Leaving);
     assert!(delta.changes.iter().any(is_leaving));
 }
@@ -256,12 +263,12 @@
 }
 
 #[test]
-fn servers_that_must_not_get_work_are_never_picked() {
+fn ineligible_servers_are_never_picked() {
     let now = Instant::now();
     let drained = ServerView { is_drained: true, ..view("x", ServerStage::Warm, false) };
     let cases = [
         ("leaving", view("x", ServerStage::Leaving, true)),
-        ("cold, of another owner", view("x", ServerStage::Cold, false)),
+        ("cold, with another owner", view("x", ServerStage::Cold, false)),
         ("drained", drained),
     ];
     for (case, server) in cases {
@@ -272,11 +279,11 @@
     let mut load = ServiceLoad::new(load_settings());
     load.update(vec![view("x", ServerStage::Warm, false)]);
     let result = load.pick(&[], false, |_| false, now, &mut SmallRng::seed_from_u64(1));
-    assert!(matches!(result, PickResult::NoneEligible { .. }), "its owner is silent");
+    assert!(matches!(result, PickResult::NoneEligible { .. }), "no heartbeats from its owner");
 }
 
 #[test]
-fn a_fail_fast_server_does_not_attract_load() {
+fn fail_fast_server_does_not_attract_load() {
     let start = Instant::now();
     let mut load = ServiceLoad::new(load_settings());
     load.update(["bad", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
@@ -300,7 +307,7 @@
 }
 
 #[test]
-fn a_server_that_was_slow_once_gets_work_again() {
+fn recovered_server_gets_requests_again() {
     let start = Instant::now();
     let mut load = ServiceLoad::new(load_settings());
     load.update(["slow", "x", "y"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
@@ -319,21 +326,21 @@
     assert!(late_picks > 100, "{late_picks} of 3000");
 }
 
-/// Picks any server with room.
-struct AnySelector;
+/// Picks any server below its limit, at random.
+struct RandomSelector;
 
-impl ServerSelector for AnySelector {
+impl ServerSelector for RandomSelector {
     fn pick(&self, candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize> {
         let with_room = (0..candidates.len()).filter(|index| candidates[*index].has_room());
         with_room.choose(rng)
     }
 }
 
-/// Returns the picks of the server "slow", of 4,000, when its answers take `factor` times as long
-/// from the 1,000th on; random choice, so that only the ejection keeps requests away.
+/// Returns how many of 4,000 requests go to the server "slow" after its latency rises by `factor` at
+/// the 1,000th request. Servers are picked at random, so that only ejection keeps requests away.
 fn picks_of_slow_server(factor: f64, healthy: &[&str]) -> u32 {
     let start = Instant::now();
-    let settings = LoadSettings { selector: Arc::new(AnySelector), ..load_settings() };
+    let settings = LoadSettings { selector: Arc::new(RandomSelector), ..load_settings() };
     let mut load = ServiceLoad::new(settings);
     let names = healthy.iter().copied().chain(["slow"]);
     load.update(names.map(|name| view(name, ServerStage::Warm, false)).collect());
@@ -354,7 +361,7 @@
 }
 
 #[test]
-fn a_server_that_becomes_three_times_slower_is_ejected_and_a_healthy_one_is_not() {
+fn server_three_times_slower_is_ejected_and_healthy_one_is_not() {
     let healthy = ["u", "v", "w", "x", "y"];
     let share = 4_000 / 6;
     let normal = picks_of_slow_server(1.0, &healthy);
@@ -364,7 +371,7 @@
 }
 
 #[test]
-fn not_all_servers_are_left_alone_for_bad_health() {
+fn servers_are_not_all_ejected_for_bad_health() {
     let now = Instant::now();
     let mut load = ServiceLoad::new(load_settings());
     load.update(["w", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
@@ -373,11 +380,11 @@
             load.release(&server, AttemptOutcome::ServerError, &StatedLoad::default(), now);
         }
     }
-    assert!(pick(&mut load, now).is_some(), "half of the servers are kept in use");
+    assert!(pick(&mut load, now).is_some(), "half of the servers stay in use");
 }
 
 #[test]
-fn what_a_server_states_ends_its_work_here_at_once() {
+fn server_reporting_a_restart_or_leaving_gets_no_more_requests() {
     let now = Instant::now();
     let stated = |load: StatedLoad, expected| {
         let mut servers = ServiceLoad::new(load_settings());
@@ -396,29 +403,29 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A cold server never has more in flight than its ramp has earned: one, plus one for each
-    /// eight good answers, and never more than its slots.
+    /// A cold server never gets more concurrent requests than its ramp allows: one, plus one for every
+    /// eight successes since the last failure, and never more than its slots.
     #[test]
-    fn a_cold_server_is_not_pressed(actions in proptest::collection::vec(0..5_u8, 1..400)) {
+    fn cold_server_is_not_overloaded(actions in proptest::collection::vec(0..5_u8, 1..400)) {
         let now = Instant::now();
         let mut load = ServiceLoad::new(load_settings());
         load.update(vec![view("x", ServerStage::Cold, true)]);
-        let mut flying: Vec<PickedServer> = Vec::new();
-        let mut good = 0_u32;
+        let mut in_flight: Vec<PickedServer> = Vec::new();
+        let mut successes = 0_u32;
         for action in actions {
             match action {
                 0..=2 => if let Some(server) = pick(&mut load, now) {
-                    flying.push(server);
-                    let earned = (1 + good / 8).min(3);
-                    prop_assert!(flying.len() as u32 <= earned, "{} of {earned}", flying.len());
+                    in_flight.push(server);
+                    let limit = (1 + successes / 8).min(3);
+                    prop_assert!(in_flight.len() as u32 <= limit, "{} of {limit}", in_flight.len());
                 },
-                3 => if let Some(server) = flying.pop() {
-                    good += 1;
+                3 => if let Some(server) = in_flight.pop() {
+                    successes += 1;
                     let success = AttemptOutcome::Success(Duration::from_millis(1));
                     load.release(&server, success, &StatedLoad::default(), now);
                 },
-                _ => if let Some(server) = flying.pop() {
-                    good = 0;
+                _ => if let Some(server) = in_flight.pop() {
+                    successes = 0;
                     load.release(&server, AttemptOutcome::Shed, &StatedLoad::default(), now);
                 },
             }
@@ -428,8 +435,8 @@
 }
 
 #[test]
-fn the_directory_ranks_alike_everywhere_and_passes_over_who_must_not_serve() {
-    let mut state = system(&["a", "b", "c", "d", "e"]);
+fn entry_ranking_skips_entries_that_do_not_serve_and_keeps_its_order() {
+    let mut state = cluster(&["a", "b", "c", "d", "e"]);
     let service: ServiceName = name("s");
     let names = |state: &ClusterState| -> Vec<EntryName> {
         rank_entries(state.view(), &service, 3).into_iter().map(|e| e.name.clone()).collect()
