--- a/crates/gateway/src/service_line.rs
+++ b/crates/gateway/src/service_line.rs
@@ -1,14 +1,14 @@
 //! Requests of one service that wait for a server with room.
 
 use parking_lot::Mutex;
-use policy::{WaitRank, WaitTicket, WaitingLine};
+use policy::{WaitQueue, WaitRank, WaitTicket};
 use std::sync::Arc;
 use tokio::sync::Notify;
 
 /// The line of one service.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceLine {
-    line: Mutex<WaitingLine<Arc<Notify>>>,
+    line: Mutex<WaitQueue<Arc<Notify>>>,
 }
 
 /// A place in the line, given up when dropped.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -22,7 +22,7 @@
 mod shared_budget;
 mod slow;
 mod usual_work;
-mod waiting_line;
+mod wait_queue;
 
 pub use admission::{AdmissionGate, AdmissionSettings, retry_after};
 pub use caller_patience::CallerPatience;
@@ -47,4 +47,4 @@
 pub use shared_budget::{BudgetTerms, SharedBudget};
 pub use slow::MedianBound;
 pub use usual_work::UsualWork;
-pub use waiting_line::{WaitRank, WaitTicket, WaitingLine};
+pub use wait_queue::{WaitQueue, WaitRank, WaitTicket};
--- a/crates/policy/src/waiting_line.rs
+++ b/crates/policy/src/wait_queue.rs
@@ -27,18 +27,18 @@
 
 /// Waiting requests in the order of their ranks, each with its waker.
 #[derive(Debug)]
-pub struct WaitingLine<T> {
+pub struct WaitQueue<T> {
     waiting: BTreeMap<WaitTicket, T>,
     next_number: u64,
 }
 
-impl<T> Default for WaitingLine<T> {
+impl<T> Default for WaitQueue<T> {
     fn default() -> Self {
         Self { waiting: BTreeMap::new(), next_number: 0 }
     }
 }
 
-impl<T> WaitingLine<T> {
+impl<T> WaitQueue<T> {
     /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -3,7 +3,7 @@
 
 use hawthornhill_policy::{
     BudgetTerms, COLD_OWNERS, CallerPatience, ColdAllowance, PlacementCandidate, PlacementNeed,
-    RoomNeed, RoomOutlook, ServerLoad, SharedBudget, UsualWork, WaitRank, WaitingLine,
+    RoomNeed, RoomOutlook, ServerLoad, SharedBudget, UsualWork, WaitQueue, WaitRank,
     cheapest_candidate, owns_cold_server, plan_return,
 };
 use std::time::{Duration, Instant};
@@ -106,19 +106,19 @@
         priority,
         arrived: now + Duration::from_millis(ms),
     };
-    let mut line = WaitingLine::default();
-    let late = line.join(rank(true, 1, 0), "late");
-    let second = line.join(rank(false, 2, 5), "second");
-    let first = line.join(rank(false, 2, 3), "first");
-    let urgent = line.join(rank(false, 1, 9), "urgent");
+    let mut queue = WaitQueue::default();
+    let late = queue.join(rank(true, 1, 0), "late");
+    let second = queue.join(rank(false, 2, 5), "second");
+    let first = queue.join(rank(false, 2, 3), "first");
+    let urgent = queue.join(rank(false, 1, 9), "urgent");
     for (ticket, name) in [(urgent, "urgent"), (first, "first"), (second, "second"), (late, "late")]
     {
-        assert!(line.is_first(ticket), "{name}");
-        assert_eq!(line.first(), Some(&name));
-        assert_eq!(line.leave(ticket), Some(name));
+        assert!(queue.is_first(ticket), "{name}");
+        assert_eq!(queue.first(), Some(&name));
+        assert_eq!(queue.leave(ticket), Some(name));
     }
-    assert!(line.is_empty());
-    assert_eq!(line.leave(late), None);
+    assert!(queue.is_empty());
+    assert_eq!(queue.leave(late), None);
 }
 
 #[test]
