--- a/crates/gateway/src/service_line.rs
+++ b/crates/gateway/src/service_line.rs
@@ -21,7 +21,7 @@
 impl ServiceLine {
     /// Says whether a request of this rank need not wait for others.
     pub(crate) fn would_lead(&self, rank: &WaitRank) -> bool {
-        self.line.lock().would_lead(rank)
+        self.line.lock().would_be_first(rank)
     }
 
     /// Returns the number of requests that wait.
--- a/crates/policy/src/wait_queue.rs
+++ b/crates/policy/src/wait_queue.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether a new request of this rank would be at the head of the queue.
-    pub fn would_lead(&self, rank: &WaitRank) -> bool {
+    pub fn would_be_first(&self, rank: &WaitRank) -> bool {
         self.waiting.first_key_value().is_none_or(|(first, _)| *rank < first.rank)
     }
 
