--- a/crates/gateway/src/service_line.rs
+++ b/crates/gateway/src/service_line.rs
@@ -32,7 +32,7 @@
     /// Joins the line.
     pub(crate) fn join(self: &Arc<Self>, rank: WaitRank) -> LinePlace {
         let turn = Arc::new(Notify::new());
-        let ticket = self.line.lock().join(rank, turn.clone());
+        let ticket = self.line.lock().push(rank, turn.clone());
         LinePlace { line: self.clone(), ticket, turn }
     }
 }
--- a/crates/policy/src/wait_queue.rs
+++ b/crates/policy/src/wait_queue.rs
@@ -55,7 +55,7 @@
     }
 
     /// Adds a request. Requests of equal rank keep their order of insertion.
-    pub fn join(&mut self, rank: WaitRank, waker: T) -> WaitTicket {
+    pub fn push(&mut self, rank: WaitRank, waker: T) -> WaitTicket {
         let ticket = WaitTicket { rank, number: self.next_number };
         self.next_number += 1;
         self.waiting.insert(ticket, waker);
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -107,10 +107,10 @@
         arrived: now + Duration::from_millis(ms),
     };
     let mut queue = WaitQueue::default();
-    let late = queue.join(rank(true, 1, 0), "late");
-    let second = queue.join(rank(false, 2, 5), "second");
-    let first = queue.join(rank(false, 2, 3), "first");
-    let urgent = queue.join(rank(false, 1, 9), "urgent");
+    let late = queue.push(rank(true, 1, 0), "late");
+    let second = queue.push(rank(false, 2, 5), "second");
+    let first = queue.push(rank(false, 2, 3), "first");
+    let urgent = queue.push(rank(false, 1, 9), "urgent");
     for (ticket, name) in [(urgent, "urgent"), (first, "first"), (second, "second"), (late, "late")]
     {
         assert!(queue.is_first(ticket), "{name}");
