--- a/crates/gateway/src/service_line.rs
+++ b/crates/gateway/src/service_line.rs
@@ -49,7 +49,7 @@
 impl Drop for LinePlace {
     fn drop(&mut self) {
         let mut line = self.line.line.lock();
-        line.leave(self.ticket);
+        line.remove(self.ticket);
         if let Some(next) = line.first() {
             next.notify_one();
         }
--- a/crates/policy/src/wait_queue.rs
+++ b/crates/policy/src/wait_queue.rs
@@ -63,7 +63,7 @@
     }
 
     /// Removes a request. Returns its waker, or `None` if it is not in the queue.
-    pub fn leave(&mut self, ticket: WaitTicket) -> Option<T> {
+    pub fn remove(&mut self, ticket: WaitTicket) -> Option<T> {
         self.waiting.remove(&ticket)
     }
 
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -115,10 +115,10 @@
     {
         assert!(queue.is_first(ticket), "{name}");
         assert_eq!(queue.first(), Some(&name));
-        assert_eq!(queue.leave(ticket), Some(name));
+        assert_eq!(queue.remove(ticket), Some(name));
     }
     assert!(queue.is_empty());
-    assert_eq!(queue.leave(late), None);
+    assert_eq!(queue.remove(late), None);
 }
 
 #[test]
