--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -3,7 +3,7 @@
 use crate::EntryContext;
 use parking_lot::Mutex;
 use policy::{
-    AttemptOutcome, LatencyTracker, LoadSettings, PickResult, PickedServer, ReleaseNotes,
+    AttemptOutcome, LatencyTracker, LoadSettings, PickResult, PickedServer, ReleaseOutcome,
     RetryBudget, ServerView, ServiceLoad, StatedLoad, expected_wait,
 };
 use runtime::EventKind;
@@ -331,7 +331,7 @@
         self.serve_waiting();
     }
 
-    fn report(&self, server: &PickedServer, notes: &ReleaseNotes) {
+    fn report(&self, server: &PickedServer, notes: &ReleaseOutcome) {
         let Some(observer) = self.observer.upgrade() else {
             return;
         };
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -89,7 +89,7 @@
 
 /// State changes of a server found at the end of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ReleaseNotes {
+pub struct ReleaseOutcome {
     /// Whether the server has completed its slow start.
     pub is_warm: bool,
     /// Whether the server has become slow and was ejected.
@@ -198,18 +198,18 @@
         outcome: AttemptOutcome,
         stated: &StatedLoad,
         now: Instant,
-    ) -> ReleaseNotes {
+    ) -> ReleaseOutcome {
         let typical = self.typical_latency();
         let found = self
             .servers
             .iter_mut()
             .find(|server| server.view.record.announcement.server == picked.name);
         let Some(server) = found else {
-            return ReleaseNotes::default();
+            return ReleaseOutcome::default();
         };
         server.in_flight = server.in_flight.saturating_sub(1);
         if server.view.record.announcement.incarnation != picked.incarnation {
-            return ReleaseNotes::default();
+            return ReleaseOutcome::default();
         }
         let mut notes = server.record_end(outcome, stated, now);
         if let AttemptOutcome::Success(latency) = outcome {
@@ -422,7 +422,7 @@
         outcome: AttemptOutcome,
         stated: &StatedLoad,
         now: Instant,
-    ) -> ReleaseNotes {
+    ) -> ReleaseOutcome {
         self.health.record(outcome, now);
         if let Some(load) = stated.load {
             self.report = Some((load, now));
@@ -446,7 +446,7 @@
         if suspicion.is_some() {
             self.suspected_until = Some(now + SUSPICION_TIMEOUT);
         }
-        ReleaseNotes { is_warm, is_slow: false, suspicion }
+        ReleaseOutcome { is_warm, is_slow: false, suspicion }
     }
 
     /// Returns the suspicion that the end of a request raises, unless there is one already.
