--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -1,7 +1,7 @@
 //! One try of a request at one server.
 
 use crate::{EntryContext, active_call::ActiveCall, service_pool::ServerPermit};
-use policy::{AttemptOutcome, StatedLoad};
+use policy::{AttemptOutcome, ServerReport};
 use runtime::EventKind;
 use server::{SendError, ServerAnswer, ServerTransport, StartGuard, TransportError};
 use std::{sync::Arc, time::Instant};
@@ -37,7 +37,7 @@
         let connection = match self.transport.connect(address, deadline).await {
             Ok(connection) => connection,
             Err(error) => {
-                permit.finish(connect_outcome(&error), &StatedLoad::default());
+                permit.finish(connect_outcome(&error), &ServerReport::default());
                 return AttemptEnd::NotRun(format!("{server}: {error}"));
             }
         };
@@ -82,8 +82,12 @@
     }
 }
 
-fn stated_load(answer: &ServerAnswer) -> StatedLoad {
-    StatedLoad { load: answer.load, incarnation: answer.incarnation, is_leaving: answer.is_leaving }
+fn stated_load(answer: &ServerAnswer) -> ServerReport {
+    ServerReport {
+        load: answer.load,
+        incarnation: answer.incarnation,
+        is_leaving: answer.is_leaving,
+    }
 }
 
 fn judge(server: &ServerName, result: Result<ServerAnswer, SendError>) -> AttemptEnd {
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -4,7 +4,7 @@
 use parking_lot::Mutex;
 use policy::{
     AttemptOutcome, LatencyTracker, LoadSettings, PickResult, PickedServer, ReleaseOutcome,
-    RetryBudget, ServerView, ServiceLoad, StatedLoad, expected_wait,
+    RetryBudget, ServerReport, ServerView, ServiceLoad, expected_wait,
 };
 use runtime::EventKind;
 use smallvec::SmallVec;
@@ -88,7 +88,7 @@
 
 impl ServerPermit {
     /// Notes how the request ended.
-    pub(crate) fn finish(mut self, outcome: AttemptOutcome, stated: &StatedLoad) {
+    pub(crate) fn finish(mut self, outcome: AttemptOutcome, stated: &ServerReport) {
         self.is_finished = true;
         self.pool.clone().release(&self.server, outcome, stated);
     }
@@ -100,7 +100,7 @@
             // A try that is given up says something of its server only if it took very long.
             let is_late = self.pool.late_limit().is_some_and(|limit| self.taken.elapsed() > limit);
             let outcome = if is_late { AttemptOutcome::Late } else { AttemptOutcome::Cancelled };
-            self.pool.clone().release(&self.server, outcome, &StatedLoad::default());
+            self.pool.clone().release(&self.server, outcome, &ServerReport::default());
         }
     }
 }
@@ -318,7 +318,7 @@
         self: Arc<Self>,
         server: &PickedServer,
         outcome: AttemptOutcome,
-        stated: &StatedLoad,
+        stated: &ServerReport,
     ) {
         let notes = {
             let mut state = self.state.lock();
@@ -376,7 +376,7 @@
             if let Err(mut unused) = waiter.sender.send(permit) {
                 unused.is_finished = true;
                 let mut state = self.state.lock();
-                let stated = StatedLoad::default();
+                let stated = ServerReport::default();
                 let now = Instant::now();
                 state.load.release(&unused.server, AttemptOutcome::Cancelled, &stated, now);
             }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -41,7 +41,7 @@
 pub use return_plan::{RoomOutlook, plan_return};
 pub use selection::{CandidateLoad, LatencySelector, ServerSelector};
 pub use service_load::{
-    LoadSettings, PickResult, PickedServer, ReleaseOutcome, ServerView, ServiceLoad, StatedLoad,
+    LoadSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView, ServiceLoad,
     expected_wait,
 };
 pub use shared_budget::{BudgetTerms, SharedBudget};
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -196,7 +196,7 @@
         &mut self,
         picked: &PickedServer,
         outcome: AttemptOutcome,
-        stated: &StatedLoad,
+        stated: &ServerReport,
         now: Instant,
     ) -> ReleaseOutcome {
         let typical = self.typical_latency();
@@ -316,7 +316,7 @@
 
 /// What a server reports about itself in an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct StatedLoad {
+pub struct ServerReport {
     /// Requests in flight at the server.
     pub load: Option<u32>,
     /// Current incarnation.
@@ -420,7 +420,7 @@
     fn record_end(
         &mut self,
         outcome: AttemptOutcome,
-        stated: &StatedLoad,
+        stated: &ServerReport,
         now: Instant,
     ) -> ReleaseOutcome {
         self.health.record(outcome, now);
@@ -453,7 +453,7 @@
     fn suspicion(
         &self,
         outcome: AttemptOutcome,
-        stated: &StatedLoad,
+        stated: &ServerReport,
         now: Instant,
     ) -> Option<SuspectKind> {
         if self.is_suspected(now) {
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -2,8 +2,8 @@
 
 use hawthornhill_policy::{
     AnnounceOutcome, AttemptOutcome, CandidateLoad, LatencySelector, LoadSettings, PickResult,
-    PickedServer, ServerDirectory, ServerRegistry, ServerSelector, ServerView, ServiceLoad,
-    StatedLoad, rank_entries,
+    PickedServer, ServerDirectory, ServerRegistry, ServerReport, ServerSelector, ServerView,
+    ServiceLoad, rank_entries,
 };
 use proptest::prelude::*;
 use rand::{RngCore, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
@@ -301,7 +301,7 @@
         } else {
             AttemptOutcome::Success(Duration::from_millis(1))
         };
-        load.release(&server, outcome, &StatedLoad::default(), now);
+        load.release(&server, outcome, &ServerReport::default(), now);
     }
     assert!(at_bad < 40, "{at_bad} of 2000 requests went to the server that fails fast");
 }
@@ -321,7 +321,7 @@
         let is_slow = server.name.as_str() == "slow";
         late_picks += u32::from(is_slow && number > 2_000);
         let latency = Duration::from_millis(if is_slow && number < 1_000 { 50 } else { 2 });
-        load.release(&server, AttemptOutcome::Success(latency), &StatedLoad::default(), now);
+        load.release(&server, AttemptOutcome::Success(latency), &ServerReport::default(), now);
     }
     assert!(late_picks > 100, "{late_picks} of 3000");
 }
@@ -355,7 +355,7 @@
         picks += u32::from(is_slow);
         let noise = 0.3 - rand::Rng::random_range(&mut rng, f64::EPSILON..1.0).ln();
         let latency = Duration::from_secs_f64(noise * if is_slow { factor } else { 1.0 } / 1e3);
-        load.release(&server, AttemptOutcome::Success(latency), &StatedLoad::default(), now);
+        load.release(&server, AttemptOutcome::Success(latency), &ServerReport::default(), now);
     }
     picks
 }
@@ -377,7 +377,7 @@
     load.update(["w", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
     for _ in 0..200 {
         if let Some(server) = pick(&mut load, now) {
-            load.release(&server, AttemptOutcome::ServerError, &StatedLoad::default(), now);
+            load.release(&server, AttemptOutcome::ServerError, &ServerReport::default(), now);
         }
     }
     assert!(pick(&mut load, now).is_some(), "half of the servers stay in use");
@@ -386,7 +386,7 @@
 #[test]
 fn server_reporting_a_restart_or_leaving_gets_no_more_requests() {
     let now = Instant::now();
-    let stated = |load: StatedLoad, expected| {
+    let stated = |load: ServerReport, expected| {
         let mut servers = ServiceLoad::new(load_settings());
         servers.update(vec![view("x", ServerStage::Warm, false)]);
         let picked = pick(&mut servers, now).expect("warm");
@@ -395,9 +395,9 @@
         assert_eq!(notes.suspicion, Some(expected));
         assert_eq!(pick(&mut servers, now), None);
     };
-    let restarted = StatedLoad { incarnation: Some(ServerIncarnation(2)), ..Default::default() };
+    let restarted = ServerReport { incarnation: Some(ServerIncarnation(2)), ..Default::default() };
     stated(restarted, SuspectKind::Restarted);
-    stated(StatedLoad { is_leaving: true, ..Default::default() }, SuspectKind::Leaving);
+    stated(ServerReport { is_leaving: true, ..Default::default() }, SuspectKind::Leaving);
 }
 
 proptest! {
@@ -422,11 +422,11 @@
                 3 => if let Some(server) = in_flight.pop() {
                     successes += 1;
                     let success = AttemptOutcome::Success(Duration::from_millis(1));
-                    load.release(&server, success, &StatedLoad::default(), now);
+                    load.release(&server, success, &ServerReport::default(), now);
                 },
                 _ => if let Some(server) = in_flight.pop() {
                     successes = 0;
-                    load.release(&server, AttemptOutcome::Shed, &StatedLoad::default(), now);
+                    load.release(&server, AttemptOutcome::Shed, &ServerReport::default(), now);
                 },
             }
             prop_assert_eq!(load.verify(), Ok(()));
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -10,8 +10,8 @@
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
 use policy::{
-    AttemptOutcome, LatencySelector, LoadSettings, PickResult, ServerSelector, ServerView,
-    ServiceLoad, StatedLoad,
+    AttemptOutcome, LatencySelector, LoadSettings, PickResult, ServerReport, ServerSelector,
+    ServerView, ServiceLoad,
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use std::{
@@ -83,11 +83,11 @@
         let (outcome, stated) = match &answer {
             Ok(answer) if answer.status == 200 => {
                 let load = answer.header(header::LOAD).parse().ok();
-                let stated = StatedLoad { load, ..StatedLoad::default() };
+                let stated = ServerReport { load, ..ServerReport::default() };
                 (AttemptOutcome::Success(started.elapsed()), stated)
             }
-            Ok(answer) if answer.status == 503 => (AttemptOutcome::Shed, StatedLoad::default()),
-            _ => (AttemptOutcome::ServerError, StatedLoad::default()),
+            Ok(answer) if answer.status == 503 => (AttemptOutcome::Shed, ServerReport::default()),
+            _ => (AttemptOutcome::ServerError, ServerReport::default()),
         };
         let (load, queue, _) = &mut *self.load.lock();
         load.release(&server, outcome, &stated, Instant::now());
