--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -196,7 +196,7 @@
         &mut self,
         picked: &PickedServer,
         outcome: AttemptOutcome,
-        stated: &ServerReport,
+        report: &ServerReport,
         now: Instant,
     ) -> ReleaseOutcome {
         let typical = self.typical_latency();
@@ -211,14 +211,14 @@
         if server.view.record.announcement.incarnation != picked.incarnation {
             return ReleaseOutcome::default();
         }
-        let mut notes = server.record_end(outcome, stated, now);
+        let mut release = server.record_end(outcome, report, now);
         if let AttemptOutcome::Success(latency) = outcome {
-            notes.is_slow = server.slowness.note(latency, typical);
-            if notes.is_slow {
+            release.is_slow = server.slowness.note(latency, typical);
+            if release.is_slow {
                 server.health.eject_slow(now);
             }
         }
-        notes
+        release
     }
 
     /// Returns whether this entry may send requests to any server, now or once it is below its limit.
@@ -420,11 +420,11 @@
     fn record_end(
         &mut self,
         outcome: AttemptOutcome,
-        stated: &ServerReport,
+        report: &ServerReport,
         now: Instant,
     ) -> ReleaseOutcome {
         self.health.record(outcome, now);
-        if let Some(load) = stated.load {
+        if let Some(load) = report.load {
             self.report = Some((load, now));
         }
         if let AttemptOutcome::Success(latency) = outcome {
@@ -442,7 +442,7 @@
                 false
             }
         };
-        let suspicion = self.suspicion(outcome, stated, now);
+        let suspicion = self.suspicion(outcome, report, now);
         if suspicion.is_some() {
             self.suspected_until = Some(now + SUSPICION_TIMEOUT);
         }
@@ -453,17 +453,17 @@
     fn suspicion(
         &self,
         outcome: AttemptOutcome,
-        stated: &ServerReport,
+        report: &ServerReport,
         now: Instant,
     ) -> Option<SuspectKind> {
         if self.is_suspected(now) {
             return None;
         }
         let known = self.view.record.announcement.incarnation;
-        if stated.is_leaving {
+        if report.is_leaving {
             return Some(SuspectKind::Leaving);
         }
-        if stated.incarnation.is_some_and(|incarnation| incarnation != known) {
+        if report.incarnation.is_some_and(|incarnation| incarnation != known) {
             return Some(SuspectKind::Restarted);
         }
         let is_warm = self.view.record.stage == ServerStage::Warm;
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -386,18 +386,18 @@
 #[test]
 fn server_reporting_a_restart_or_leaving_gets_no_more_requests() {
     let now = Instant::now();
-    let stated = |load: ServerReport, expected| {
+    let check_suspicion = |report: ServerReport, expected| {
         let mut servers = ServiceLoad::new(load_settings());
         servers.update(vec![view("x", ServerStage::Warm, false)]);
         let picked = pick(&mut servers, now).expect("warm");
         let success = AttemptOutcome::Success(Duration::from_millis(1));
-        let notes = servers.release(&picked, success, &load, now);
-        assert_eq!(notes.suspicion, Some(expected));
+        let release = servers.release(&picked, success, &report, now);
+        assert_eq!(release.suspicion, Some(expected));
         assert_eq!(pick(&mut servers, now), None);
     };
     let restarted = ServerReport { incarnation: Some(ServerIncarnation(2)), ..Default::default() };
-    stated(restarted, SuspectKind::Restarted);
-    stated(ServerReport { is_leaving: true, ..Default::default() }, SuspectKind::Leaving);
+    check_suspicion(restarted, SuspectKind::Restarted);
+    check_suspicion(ServerReport { is_leaving: true, ..Default::default() }, SuspectKind::Leaving);
 }
 
 proptest! {
