--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -12,7 +12,7 @@
 use platform::{
     BootFile, BootSettings, PlatformDialect, serve_control, serve_directory, serve_ready,
 };
-use policy::FirstRoutesTerms;
+use policy::StartupWait;
 use rand::random;
 use replica::{FileStore, LEADER_WAIT, ReplicaHandle, ReplicaSettings, start_replica};
 use runtime::{EventTimeline, LogFormat, Logger, MetricsRegistry, TimerService, root_logger};
@@ -157,7 +157,7 @@
         let gateway = GatewaySettings {
             info,
             budget: settings.budget,
-            first_routes: FirstRoutesTerms::default(),
+            first_routes: StartupWait::default(),
             body_memory_bytes: settings.memory_bytes / BODY_MEMORY_SHARE,
             farewell: FAREWELL,
             stop_grace: settings.stop_grace.saturating_sub(FAREWELL + STOP_MARGIN),
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -15,8 +15,7 @@
 use http::{StatusCode, Uri, header};
 use parking_lot::{Mutex, RwLock};
 use policy::{
-    BudgetTerms, CallerPatience, FirstRoutesTerms, RoomOutlook, SharedBudget, UsualWork,
-    plan_return,
+    BudgetTerms, CallerPatience, RoomOutlook, SharedBudget, StartupWait, UsualWork, plan_return,
 };
 use runtime::{DecisionCounters, Histogram, Logger};
 use slog::info;
@@ -65,7 +64,7 @@
     pub(crate) memory: Arc<BodyMemory>,
     pub(crate) view: Arc<RwLock<Arc<ClusterView>>>,
     pub(crate) routes: watch::Sender<Option<Arc<InstalledRoutes>>>,
-    pub(crate) first_routes: FirstRoutesTerms,
+    pub(crate) first_routes: StartupWait,
     pub(crate) started: Instant,
     pub(crate) budget: BudgetTerms,
     pub(crate) metrics: ForwardMetrics,
@@ -79,7 +78,7 @@
         placer: ServerPlacer,
         view: Arc<RwLock<Arc<ClusterView>>>,
         budget: BudgetTerms,
-        first_routes: FirstRoutesTerms,
+        first_routes: StartupWait,
         metrics: ForwardMetrics,
         logger: Logger,
     ) -> Arc<Self> {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -11,7 +11,7 @@
 };
 use follow::{FreshnessKeeper, KeeperTools, LeaderFinder, ViewHolder};
 use parking_lot::RwLock;
-use policy::{BudgetTerms, FirstRoutesTerms, FreshnessGate};
+use policy::{BudgetTerms, FreshnessGate, StartupWait};
 use runtime::{EventKind, EventTags, EventTimeline, Logger, MetricsRegistry, TimerService};
 use slog::info;
 use std::{
@@ -38,7 +38,7 @@
     /// The budget of repeated sends of all entries together.
     pub budget: BudgetTerms,
     /// How long requests wait for first routes after a start.
-    pub first_routes: FirstRoutesTerms,
+    pub first_routes: StartupWait,
     /// Bytes of bodies that the entry holds at the same time.
     pub body_memory_bytes: u64,
     /// How long a stopping entry still takes connections, for callers that do not know yet.
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -4,7 +4,7 @@
 
 use harness::{Script, ScriptedServer, TestGateway, announcement, routing};
 use http::StatusCode;
-use policy::FirstRoutesTerms;
+use policy::StartupWait;
 use std::sync::atomic::Ordering;
 use std::{
     sync::Arc,
@@ -246,7 +246,7 @@
 async fn request_that_comes_before_the_first_view_is_served_once_it_is_there() {
     let server = ScriptedServer::start("sound", "a", Script::Answer(200, 0)).await;
     let minute = Duration::from_secs(60);
-    let first_routes = FirstRoutesTerms { expected_within: minute, max_wait: minute };
+    let first_routes = StartupWait { expected_within: minute, max_wait: minute };
     let gateway = TestGateway::start_empty(first_routes).await;
     let publish = async {
         sleep(Duration::from_millis(100)).await;
@@ -259,8 +259,7 @@
 
 #[tokio::test]
 async fn entry_that_stays_without_a_view_refuses_at_once_and_says_when_to_come_back() {
-    let first_routes =
-        FirstRoutesTerms { expected_within: Duration::ZERO, ..FirstRoutesTerms::default() };
+    let first_routes = StartupWait { expected_within: Duration::ZERO, ..StartupWait::default() };
     let gateway = TestGateway::start_empty(first_routes).await;
     let answer = gateway.send("GET", "/read/x", "r1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -17,7 +17,7 @@
     FreshnessAnswer, FreshnessGrant, PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget,
     ViewTransfer,
 };
-use policy::{BudgetTerms, FirstRoutesTerms, ServerLoad};
+use policy::{BudgetTerms, ServerLoad, StartupWait};
 use runtime::{EventTimeline, LogFormat, MetricsRegistry, TimerService, root_logger};
 use std::{
     net::SocketAddr,
@@ -297,7 +297,7 @@
 impl TestGateway {
     /// Starts an entry in the failure domain `a` and waits until it is ready.
     pub async fn start(document: RoutingDocument, servers: &[&Arc<ScriptedServer>]) -> Self {
-        let gateway = Self::start_empty(FirstRoutesTerms::default()).await;
+        let gateway = Self::start_empty(StartupWait::default()).await;
         gateway.publish(document, servers);
         while !gateway.node.is_ready() {
             sleep(Duration::from_millis(5)).await;
@@ -316,7 +316,7 @@
     }
 
     /// Starts an entry whose replicas know nothing yet.
-    pub async fn start_empty(first_routes: FirstRoutesTerms) -> Self {
+    pub async fn start_empty(first_routes: StartupWait) -> Self {
         let probe = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = probe.local_addr().expect("bound");
         drop(probe);
--- a/crates/policy/src/first_routes.rs
+++ b/crates/policy/src/first_routes.rs
@@ -7,7 +7,7 @@
 
 /// Limits on the wait for the first routes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FirstRoutesTerms {
+pub struct StartupWait {
     /// Time after the start of an entry within which routes are expected. Without routes by then,
     /// the replicas are assumed to be unavailable for longer, and requests are refused at once.
     pub expected_within: Duration,
@@ -15,7 +15,7 @@
     pub max_wait: Duration,
 }
 
-impl Default for FirstRoutesTerms {
+impl Default for StartupWait {
     fn default() -> Self {
         // Twice the time that the slowest of 132 entries needed after a restart of all processes.
         let expected_within = Duration::from_secs(1);
@@ -25,7 +25,7 @@
     }
 }
 
-impl FirstRoutesTerms {
+impl StartupWait {
     /// Returns the time until which a request waits that arrives at an entry without routes, or
     /// `None` if it is refused at once. `time_allowed` is the caller's timeout; at most half of it
     /// is spent on the wait.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -30,7 +30,7 @@
 pub use cold_start::ColdRamp;
 pub use directory::{BEAT_LIMIT, DirectoryServer, ServerDirectory};
 pub use entry_ranking::rank_entries;
-pub use first_routes::FirstRoutesTerms;
+pub use first_routes::StartupWait;
 pub use freshness::FreshnessGate;
 pub use health::{AttemptOutcome, ServerHealth};
 pub use latency::LatencyTracker;
