--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -15,7 +15,7 @@
 use http::{StatusCode, Uri, header};
 use parking_lot::{Mutex, RwLock};
 use policy::{
-    BudgetTerms, CallerPatience, RoomOutlook, SharedBudget, StartupWait, UsualWork, plan_return,
+    BudgetLimits, CallerPatience, RoomOutlook, SharedBudget, StartupWait, UsualWork, plan_return,
 };
 use runtime::{DecisionCounters, Histogram, Logger};
 use slog::info;
@@ -66,7 +66,7 @@
     pub(crate) routes: watch::Sender<Option<Arc<InstalledRoutes>>>,
     pub(crate) first_routes: StartupWait,
     pub(crate) started: Instant,
-    pub(crate) budget: BudgetTerms,
+    pub(crate) budget: BudgetLimits,
     pub(crate) metrics: ForwardMetrics,
     pub(crate) logger: Logger,
     services: Mutex<HashMap<ServiceName, ServiceNotes>>,
@@ -77,7 +77,7 @@
     pub(crate) fn new(
         placer: ServerPlacer,
         view: Arc<RwLock<Arc<ClusterView>>>,
-        budget: BudgetTerms,
+        budget: BudgetLimits,
         first_routes: StartupWait,
         metrics: ForwardMetrics,
         logger: Logger,
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -11,7 +11,7 @@
 };
 use follow::{FreshnessKeeper, KeeperTools, LeaderFinder, ViewHolder};
 use parking_lot::RwLock;
-use policy::{BudgetTerms, FreshnessGate, StartupWait};
+use policy::{BudgetLimits, FreshnessGate, StartupWait};
 use runtime::{EventKind, EventTags, EventTimeline, Logger, MetricsRegistry, TimerService};
 use slog::info;
 use std::{
@@ -36,7 +36,7 @@
     /// This entry, as it registers itself.
     pub info: EntryInfo,
     /// The budget of repeated sends of all entries together.
-    pub budget: BudgetTerms,
+    pub budget: BudgetLimits,
     /// How long requests wait for first routes after a start.
     pub first_routes: StartupWait,
     /// Bytes of bodies that the entry holds at the same time.
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -17,7 +17,7 @@
     FreshnessAnswer, FreshnessGrant, PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget,
     ViewTransfer,
 };
-use policy::{BudgetTerms, ServerLoad, StartupWait};
+use policy::{BudgetLimits, ServerLoad, StartupWait};
 use runtime::{EventTimeline, LogFormat, MetricsRegistry, TimerService, root_logger};
 use std::{
     net::SocketAddr,
@@ -337,7 +337,7 @@
         let target = PeerTarget { host: "core-1".parse().expect("name"), address };
         let settings = GatewaySettings {
             info,
-            budget: BudgetTerms { slack: 100, ..BudgetTerms::default() },
+            budget: BudgetLimits { slack: 100, ..BudgetLimits::default() },
             first_routes,
             body_memory_bytes: 64 * 1024 * 1024,
             farewell: Duration::from_millis(200),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -44,7 +44,7 @@
     LoadSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView, ServiceLoad,
     expected_wait,
 };
-pub use shared_budget::{BudgetTerms, SharedBudget};
+pub use shared_budget::{BudgetLimits, SharedBudget};
 pub use slow::MedianBound;
 pub use usual_work::UsualWork;
 pub use wait_queue::{WaitQueue, WaitRank, WaitTicket};
--- a/crates/policy/src/shared_budget.rs
+++ b/crates/policy/src/shared_budget.rs
@@ -13,7 +13,7 @@
 
 /// The retry budget of all entries together, for each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetTerms {
+pub struct BudgetLimits {
     /// Retries for each request.
     pub ratio: f64,
     /// Additional retries within a window.
@@ -22,7 +22,7 @@
     pub window: Duration,
 }
 
-impl Default for BudgetTerms {
+impl Default for BudgetLimits {
     fn default() -> Self {
         Self { ratio: 0.2, slack: 20, window: Duration::from_secs(10) }
     }
@@ -37,16 +37,16 @@
 
 impl SharedBudget {
     /// Records a request.
-    pub fn note_request(&mut self, now: Instant, terms: &BudgetTerms) {
-        self.drop_expired(now, terms);
+    pub fn note_request(&mut self, now: Instant, limits: &BudgetLimits) {
+        self.drop_expired(now, limits);
         self.requests.push_back(now);
     }
 
     /// Takes one retry, given the number of entries. Returns whether this entry's share allowed it.
-    pub fn take(&mut self, now: Instant, terms: &BudgetTerms, entries: usize) -> bool {
-        self.drop_expired(now, terms);
-        let slack = f64::from(terms.slack) / entries.max(1) as f64;
-        let allowed = USED_SHARE * (terms.ratio * self.requests.len() as f64 + slack);
+    pub fn take(&mut self, now: Instant, limits: &BudgetLimits, entries: usize) -> bool {
+        self.drop_expired(now, limits);
+        let slack = f64::from(limits.slack) / entries.max(1) as f64;
+        let allowed = USED_SHARE * (limits.ratio * self.requests.len() as f64 + slack);
         let is_granted = (self.retries.len() + 1) as f64 <= allowed;
         if is_granted {
             self.retries.push_back(now);
@@ -54,8 +54,8 @@
         is_granted
     }
 
-    fn drop_expired(&mut self, now: Instant, terms: &BudgetTerms) {
-        let is_expired = |time: &Instant| now.saturating_duration_since(*time) > terms.window;
+    fn drop_expired(&mut self, now: Instant, limits: &BudgetLimits) {
+        let is_expired = |time: &Instant| now.saturating_duration_since(*time) > limits.window;
         while self.requests.front().is_some_and(is_expired) {
             self.requests.pop_front();
         }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -2,7 +2,7 @@
 //! names the load pattern or fault that it covers.
 
 use hawthornhill_policy::{
-    BudgetTerms, COLD_OWNERS, CallerPatience, ColdAllowance, PlacementCandidate, PlacementNeed,
+    BudgetLimits, COLD_OWNERS, CallerPatience, ColdAllowance, PlacementCandidate, PlacementNeed,
     RoomNeed, RoomOutlook, ServerLoad, SharedBudget, UsualWork, WaitQueue, WaitRank,
     cheapest_candidate, owns_cold_server, plan_return,
 };
@@ -136,7 +136,7 @@
 
 #[test]
 fn retry_storm_stays_within_the_budget_of_all_entries() {
-    let terms = BudgetTerms { ratio: 0.2, slack: 62, window: Duration::from_secs(10) };
+    let limits = BudgetLimits { ratio: 0.2, slack: 62, window: Duration::from_secs(10) };
     let start = Instant::now();
     let (entries, requests_a_second) = (18, 6);
     let mut budget = SharedBudget::default();
@@ -144,15 +144,15 @@
     for millis in 0..60_000_u64 {
         let now = start + Duration::from_millis(millis);
         if millis % (1_000 / requests_a_second) == 0 {
-            budget.note_request(now, &terms);
+            budget.note_request(now, &limits);
         }
         // Retries each request about ten times: 62.5 a second against 6 requests a second.
-        if millis % 16 == 0 && budget.take(now, &terms, entries) {
+        if millis % 16 == 0 && budget.take(now, &limits, entries) {
             granted.push(now);
         }
     }
     for (index, first) in granted.iter().enumerate() {
-        let within = granted[index..].iter().filter(|time| **time - *first <= terms.window);
+        let within = granted[index..].iter().filter(|time| **time - *first <= limits.window);
         let allowed = 0.2 * 60.0 + 62.0 / entries as f64;
         assert!(within.count() as f64 <= allowed);
     }
