--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -15,7 +15,7 @@
 use http::{StatusCode, Uri, header};
 use parking_lot::{Mutex, RwLock};
 use policy::{
-    BudgetLimits, CallerPatience, RoomOutlook, SharedBudget, StartupWait, UsualWork, plan_return,
+    BudgetLimits, CallerTimeouts, RoomOutlook, SharedBudget, StartupWait, UsualWork, plan_return,
 };
 use runtime::{DecisionCounters, Histogram, Logger};
 use slog::info;
@@ -70,7 +70,7 @@
     pub(crate) metrics: ForwardMetrics,
     pub(crate) logger: Logger,
     services: Mutex<HashMap<ServiceName, ServiceNotes>>,
-    patience: Mutex<HashMap<Arc<str>, CallerPatience>>,
+    patience: Mutex<HashMap<Arc<str>, CallerTimeouts>>,
 }
 
 impl RequestForwarder {
--- a/crates/policy/src/caller_patience.rs
+++ b/crates/policy/src/caller_timeouts.rs
@@ -17,13 +17,13 @@
 
 /// The timeouts that the callers of one route state.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CallerPatience {
+pub struct CallerTimeouts {
     longest: Duration,
     /// Time at which `longest` was stated.
     recorded: Option<Instant>,
 }
 
-impl CallerPatience {
+impl CallerTimeouts {
     /// Records the remaining timeout that a caller states, and returns the time that it has probably
     /// spent on earlier attempts.
     pub fn note(&mut self, now: Instant, stated: Duration) -> Duration {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,7 +3,7 @@
 //! Functions take the current time as an argument, so that tests and benchmarks need no real clock.
 
 mod admission;
-mod caller_patience;
+mod caller_timeouts;
 mod cold_share;
 mod cold_start;
 mod directory;
@@ -25,7 +25,7 @@
 mod wait_queue;
 
 pub use admission::{AdmissionGate, AdmissionSettings, retry_after};
-pub use caller_patience::CallerPatience;
+pub use caller_timeouts::CallerTimeouts;
 pub use cold_share::{COLD_OWNERS, ColdAllowance, owns_cold_server, rendezvous_weight};
 pub use cold_start::ColdRamp;
 pub use directory::{BEAT_LIMIT, DirectoryServer, ServerDirectory};
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -2,7 +2,7 @@
 //! names the load pattern or fault that it covers.
 
 use hawthornhill_policy::{
-    BudgetLimits, COLD_OWNERS, CallerPatience, ColdAllowance, PlacementCandidate, PlacementNeed,
+    BudgetLimits, COLD_OWNERS, CallerTimeouts, ColdAllowance, PlacementCandidate, PlacementNeed,
     RoomNeed, RoomOutlook, ServerLoad, SharedBudget, UsualWork, WaitQueue, WaitRank,
     cheapest_candidate, owns_cold_server, plan_return,
 };
@@ -124,14 +124,14 @@
 #[test]
 fn retrying_caller_is_recognized_by_its_shorter_timeout() {
     let now = Instant::now();
-    let mut patience = CallerPatience::default();
-    assert_eq!(patience.note(now, Duration::from_millis(2_500)), Duration::ZERO);
+    let mut timeouts = CallerTimeouts::default();
+    assert_eq!(timeouts.note(now, Duration::from_millis(2_500)), Duration::ZERO);
     let left = Duration::from_millis(1_900);
-    assert_eq!(patience.note(now, left), Duration::from_millis(400));
+    assert_eq!(timeouts.note(now, left), Duration::from_millis(400));
     // A slightly shorter timeout is within the spread of initial timeouts: a first attempt.
-    assert_eq!(patience.note(now, Duration::from_millis(2_100)), Duration::ZERO);
+    assert_eq!(timeouts.note(now, Duration::from_millis(2_100)), Duration::ZERO);
     // The longest timeout expires when it is no longer stated.
-    assert_eq!(patience.note(now + Duration::from_secs(61), left), Duration::ZERO);
+    assert_eq!(timeouts.note(now + Duration::from_secs(61), left), Duration::ZERO);
 }
 
 #[test]
