--- a/crates/gateway/src/final_answer.rs
+++ b/crates/gateway/src/final_answer.rs
@@ -4,7 +4,7 @@
     GatewayAnswer, WireDialect, attempt::AttemptEnd, call::ForwardedCall, placer::PlaceError,
 };
 use http::StatusCode;
-use policy::{RoomOutlook, plan_return};
+use policy::{CapacityForecast, plan_return};
 use std::time::Duration;
 
 /// Makes the caller's answer of what the attempts came to.
@@ -18,13 +18,13 @@
         let trail = call.trail.lock();
         (trail.may_have_run, trail.had_room)
     };
-    let until_slot = RoomOutlook::After(usual_work);
+    let until_slot = CapacityForecast::After(usual_work);
     let wait = |outlook| plan_return(outlook, rand::random());
     match end {
         Ok(AttemptEnd::Answered(answer)) => (without_false_promise(answer, dialect), "answered"),
         Ok(AttemptEnd::Failed(answer)) => (without_false_promise(answer, dialect), "server-failed"),
         Ok(AttemptEnd::NotRun(reason)) if !may_have_run => {
-            let outlook = if had_room { RoomOutlook::Now } else { until_slot };
+            let outlook = if had_room { CapacityForecast::Now } else { until_slot };
             (GatewayAnswer::refused(&format!("not run: {reason}"), wait(outlook)), "not-run")
         }
         Ok(AttemptEnd::NotRun(reason) | AttemptEnd::Unknown(reason)) => {
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -15,7 +15,8 @@
 use http::{StatusCode, Uri, header};
 use parking_lot::{Mutex, RwLock};
 use policy::{
-    BudgetLimits, CallerTimeouts, RoomOutlook, SharedBudget, StartupWait, UsualWork, plan_return,
+    BudgetLimits, CallerTimeouts, CapacityForecast, SharedBudget, StartupWait, UsualWork,
+    plan_return,
 };
 use runtime::{DecisionCounters, Histogram, Logger};
 use slog::info;
@@ -366,7 +367,7 @@
 
 /// When to come back while this entry holds no routes yet.
 fn no_routes_wait() -> Duration {
-    plan_return(RoomOutlook::After(NO_ROUTES_WAIT), rand::random())
+    plan_return(CapacityForecast::After(NO_ROUTES_WAIT), rand::random())
 }
 
 /// Returns the usual time of a route's work before any answer.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -38,7 +38,7 @@
 pub use probe_budget::ProbeBudget;
 pub use registry::{ANNOUNCEMENT_LEASE, AnnounceOutcome, ServerRegistry};
 pub use retry_budget::RetryBudget;
-pub use return_plan::{RoomOutlook, plan_return};
+pub use return_plan::{CapacityForecast, plan_return};
 pub use selection::{CandidateLoad, LatencySelector, ServerSelector};
 pub use service_load::{
     LoadSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView, ServiceLoad,
--- a/crates/policy/src/return_plan.rs
+++ b/crates/policy/src/return_plan.rs
@@ -9,7 +9,7 @@
 
 /// Time at which servers are expected to have capacity for a refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RoomOutlook {
+pub enum CapacityForecast {
     /// Now: the server that refused the request had free slots, so that another server will run it.
     Now,
     /// After this time.
@@ -19,10 +19,10 @@
 /// Returns the time after which a refused caller should retry: the time until there is capacity,
 /// plus a random part of up to the same length, so that callers refused together do not retry
 /// together. `draw` is a uniform random number from 0 to 1.
-pub fn plan_return(outlook: RoomOutlook, draw: f64) -> Duration {
-    let until_capacity = match outlook {
-        RoomOutlook::Now => MIN_BACKOFF,
-        RoomOutlook::After(wait) => wait,
+pub fn plan_return(forecast: CapacityForecast, draw: f64) -> Duration {
+    let until_capacity = match forecast {
+        CapacityForecast::Now => MIN_BACKOFF,
+        CapacityForecast::After(wait) => wait,
     };
     let earliest = until_capacity.clamp(MIN_BACKOFF, MAX_BACKOFF / 2);
     earliest.mul_f64(1.0 + draw.clamp(0.0, 1.0))
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -2,8 +2,8 @@
 //! names the load pattern or fault that it covers.
 
 use hawthornhill_policy::{
-    BudgetLimits, COLD_OWNERS, CallerTimeouts, ColdAllowance, PlacementCandidate, PlacementNeed,
-    RoomNeed, RoomOutlook, ServerLoad, SharedBudget, UsualWork, WaitQueue, WaitRank,
+    BudgetLimits, COLD_OWNERS, CallerTimeouts, CapacityForecast, ColdAllowance, PlacementCandidate,
+    PlacementNeed, RoomNeed, ServerLoad, SharedBudget, UsualWork, WaitQueue, WaitRank,
     cheapest_candidate, owns_cold_server, plan_return,
 };
 use std::time::{Duration, Instant};
@@ -192,11 +192,12 @@
 #[test]
 fn callers_refused_together_do_not_retry_together() {
     let until_capacity = Duration::from_millis(120);
-    assert_eq!(plan_return(RoomOutlook::After(until_capacity), 0.0), until_capacity);
-    assert_eq!(plan_return(RoomOutlook::After(until_capacity), 1.0), 2 * until_capacity);
-    assert!(plan_return(RoomOutlook::After(Duration::ZERO), 0.0) > Duration::ZERO);
+    assert_eq!(plan_return(CapacityForecast::After(until_capacity), 0.0), until_capacity);
+    assert_eq!(plan_return(CapacityForecast::After(until_capacity), 1.0), 2 * until_capacity);
+    assert!(plan_return(CapacityForecast::After(Duration::ZERO), 0.0) > Duration::ZERO);
     assert!(
-        plan_return(RoomOutlook::After(Duration::from_secs(60)), 1.0) <= Duration::from_secs(2)
+        plan_return(CapacityForecast::After(Duration::from_secs(60)), 1.0)
+            <= Duration::from_secs(2)
     );
 }
 
@@ -222,7 +223,7 @@
 #[test]
 fn caller_shed_by_a_server_with_free_slots_retries_immediately() {
     for draw in [0.0, 0.5, 1.0] {
-        let wait = plan_return(RoomOutlook::Now, draw);
+        let wait = plan_return(CapacityForecast::Now, draw);
         assert!(wait > Duration::ZERO && wait <= Duration::from_millis(100), "{wait:?}");
     }
 }
