--- a/crates/gateway/src/final_answer.rs
+++ b/crates/gateway/src/final_answer.rs
@@ -4,7 +4,7 @@
     GatewayAnswer, WireDialect, attempt::AttemptEnd, call::ForwardedCall, placer::PlaceError,
 };
 use http::StatusCode;
-use policy::{CapacityForecast, plan_return};
+use policy::{CapacityForecast, retry_delay};
 use std::time::Duration;
 
 /// Makes the caller's answer of what the attempts came to.
@@ -19,7 +19,7 @@
         (trail.may_have_run, trail.had_room)
     };
     let until_slot = CapacityForecast::After(usual_work);
-    let wait = |outlook| plan_return(outlook, rand::random());
+    let wait = |outlook| retry_delay(outlook, rand::random());
     match end {
         Ok(AttemptEnd::Answered(answer)) => (without_false_promise(answer, dialect), "answered"),
         Ok(AttemptEnd::Failed(answer)) => (without_false_promise(answer, dialect), "server-failed"),
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -16,7 +16,7 @@
 use parking_lot::{Mutex, RwLock};
 use policy::{
     BudgetLimits, CallerTimeouts, CapacityForecast, SharedBudget, StartupWait, UsualWork,
-    plan_return,
+    retry_delay,
 };
 use runtime::{DecisionCounters, Histogram, Logger};
 use slog::info;
@@ -367,7 +367,7 @@
 
 /// When to come back while this entry holds no routes yet.
 fn no_routes_wait() -> Duration {
-    plan_return(CapacityForecast::After(NO_ROUTES_WAIT), rand::random())
+    retry_delay(CapacityForecast::After(NO_ROUTES_WAIT), rand::random())
 }
 
 /// Returns the usual time of a route's work before any answer.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -16,7 +16,7 @@
 mod probe_budget;
 mod registry;
 mod retry_budget;
-mod return_plan;
+mod retry_delay;
 mod selection;
 mod service_load;
 mod shared_budget;
@@ -38,7 +38,7 @@
 pub use probe_budget::ProbeBudget;
 pub use registry::{ANNOUNCEMENT_LEASE, AnnounceOutcome, ServerRegistry};
 pub use retry_budget::RetryBudget;
-pub use return_plan::{CapacityForecast, plan_return};
+pub use retry_delay::{CapacityForecast, retry_delay};
 pub use selection::{CandidateLoad, LatencySelector, ServerSelector};
 pub use service_load::{
     LoadSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView, ServiceLoad,
--- a/crates/policy/src/return_plan.rs
+++ b/crates/policy/src/retry_delay.rs
@@ -1,11 +1,11 @@
-//! Backoff that a refused caller is told.
+//! Delay after which a refused caller is told to retry.
 
 use std::time::Duration;
 
-/// Shortest backoff.
-const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest backoff.
-const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Shortest delay.
+const MIN_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay.
+const MAX_DELAY: Duration = Duration::from_secs(2);
 
 /// Time at which servers are expected to have capacity for a refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,11 +19,11 @@
 /// Returns the time after which a refused caller should retry: the time until there is capacity,
 /// plus a random part of up to the same length, so that callers refused together do not retry
 /// together. `draw` is a uniform random number from 0 to 1.
-pub fn plan_return(forecast: CapacityForecast, draw: f64) -> Duration {
+pub fn retry_delay(forecast: CapacityForecast, draw: f64) -> Duration {
     let until_capacity = match forecast {
-        CapacityForecast::Now => MIN_BACKOFF,
+        CapacityForecast::Now => MIN_DELAY,
         CapacityForecast::After(wait) => wait,
     };
-    let earliest = until_capacity.clamp(MIN_BACKOFF, MAX_BACKOFF / 2);
+    let earliest = until_capacity.clamp(MIN_DELAY, MAX_DELAY / 2);
     earliest.mul_f64(1.0 + draw.clamp(0.0, 1.0))
 }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -4,7 +4,7 @@
 use hawthornhill_policy::{
     BudgetLimits, COLD_OWNERS, CallerTimeouts, CapacityForecast, ColdAllowance, PlacementCandidate,
     PlacementNeed, RoomNeed, ServerLoad, SharedBudget, UsualWork, WaitQueue, WaitRank,
-    cheapest_candidate, owns_cold_server, plan_return,
+    cheapest_candidate, owns_cold_server, retry_delay,
 };
 use std::time::{Duration, Instant};
 use types::EntryName;
@@ -192,11 +192,11 @@
 #[test]
 fn callers_refused_together_do_not_retry_together() {
     let until_capacity = Duration::from_millis(120);
-    assert_eq!(plan_return(CapacityForecast::After(until_capacity), 0.0), until_capacity);
-    assert_eq!(plan_return(CapacityForecast::After(until_capacity), 1.0), 2 * until_capacity);
-    assert!(plan_return(CapacityForecast::After(Duration::ZERO), 0.0) > Duration::ZERO);
+    assert_eq!(retry_delay(CapacityForecast::After(until_capacity), 0.0), until_capacity);
+    assert_eq!(retry_delay(CapacityForecast::After(until_capacity), 1.0), 2 * until_capacity);
+    assert!(retry_delay(CapacityForecast::After(Duration::ZERO), 0.0) > Duration::ZERO);
     assert!(
-        plan_return(CapacityForecast::After(Duration::from_secs(60)), 1.0)
+        retry_delay(CapacityForecast::After(Duration::from_secs(60)), 1.0)
             <= Duration::from_secs(2)
     );
 }
@@ -223,7 +223,7 @@
 #[test]
 fn caller_shed_by_a_server_with_free_slots_retries_immediately() {
     for draw in [0.0, 0.5, 1.0] {
-        let wait = plan_return(CapacityForecast::Now, draw);
+        let wait = retry_delay(CapacityForecast::Now, draw);
         assert!(wait > Duration::ZERO && wait <= Duration::from_millis(100), "{wait:?}");
     }
 }
