--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -34,7 +34,9 @@
 pub use freshness::FreshnessGate;
 pub use health::{AttemptOutcome, ServerHealth};
 pub use latency::LatencyTracker;
-pub use placement::{PlacementCandidate, PlacementNeed, RoomNeed, ServerLoad, cheapest_candidate};
+pub use placement::{
+    CapacityNeed, PlacementCandidate, PlacementNeed, ServerLoad, cheapest_candidate,
+};
 pub use probe_budget::ProbeBudget;
 pub use registry::{ANNOUNCEMENT_LEASE, AnnounceOutcome, ServerRegistry};
 pub use retry_budget::RetryBudget;
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -68,7 +68,7 @@
 
 /// Free capacity that a server must have to get a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RoomNeed {
+pub enum CapacityNeed {
     /// The server must be expected to answer within this time, including the wait in its queue.
     Within(Duration),
     /// At least one slot must stay free, for requests that can still meet their target.
@@ -83,7 +83,7 @@
     /// Target latency of the route.
     pub target: Duration,
     /// Free capacity that the server must have.
-    pub room: RoomNeed,
+    pub room: CapacityNeed,
 }
 
 impl PlacementNeed {
@@ -92,7 +92,7 @@
     pub fn within(usual_work: Duration, target: Duration, left: Duration) -> Self {
         let used = target.saturating_sub(left);
         let reachable = Self::reachable_target(usual_work, target);
-        Self { usual_work, target, room: RoomNeed::Within(reachable.saturating_sub(used)) }
+        Self { usual_work, target, room: CapacityNeed::Within(reachable.saturating_sub(used)) }
     }
 
     /// Returns the target latency, or 1.1 times the service time at a nearly full server if that is
@@ -106,10 +106,10 @@
     /// Returns whether the server has the free capacity that a request needs.
     pub fn has_room(&self, need: &PlacementNeed) -> bool {
         match need.room {
-            RoomNeed::Within(limit) => {
+            CapacityNeed::Within(limit) => {
                 !self.load.is_full() && self.expected_completion(need.usual_work) <= limit
             }
-            RoomNeed::SpareSlot => {
+            CapacityNeed::SpareSlot => {
                 self.load.running + self.load.waiting + 1 < self.load.slots.max(2)
             }
         }
