--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -83,7 +83,7 @@
     /// Target latency of the route.
     pub target: Duration,
     /// Free capacity that the server must have.
-    pub room: CapacityNeed,
+    pub capacity: CapacityNeed,
 }
 
 impl PlacementNeed {
@@ -92,7 +92,7 @@
     pub fn within(usual_work: Duration, target: Duration, left: Duration) -> Self {
         let used = target.saturating_sub(left);
         let reachable = Self::reachable_target(usual_work, target);
-        Self { usual_work, target, room: CapacityNeed::Within(reachable.saturating_sub(used)) }
+        Self { usual_work, target, capacity: CapacityNeed::Within(reachable.saturating_sub(used)) }
     }
 
     /// Returns the target latency, or 1.1 times the service time at a nearly full server if that is
@@ -105,7 +105,7 @@
 impl PlacementCandidate {
     /// Returns whether the server has the free capacity that a request needs.
     pub fn has_room(&self, need: &PlacementNeed) -> bool {
-        match need.room {
+        match need.capacity {
             CapacityNeed::Within(limit) => {
                 !self.load.is_full() && self.expected_completion(need.usual_work) <= limit
             }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -12,7 +12,7 @@
 const NEED: PlacementNeed = PlacementNeed {
     usual_work: Duration::from_millis(120),
     target: Duration::from_millis(300),
-    room: CapacityNeed::Within(Duration::from_millis(300)),
+    capacity: CapacityNeed::Within(Duration::from_millis(300)),
 };
 
 fn load(running: u32, waiting: u32, slowness_percent: u32) -> ServerLoad {
@@ -45,7 +45,7 @@
 fn slow_server_gets_only_requests_that_have_missed_their_target() {
     let candidates = [local(load(3, 3, 100)), local(load(0, 0, 400)), remote(load(3, 4, 100))];
     assert_eq!(cheapest_candidate(&candidates, &NEED), None);
-    let late = PlacementNeed { room: CapacityNeed::SpareSlot, ..NEED };
+    let late = PlacementNeed { capacity: CapacityNeed::SpareSlot, ..NEED };
     assert_eq!(cheapest_candidate(&candidates, &late), Some(1));
 }
 
@@ -90,7 +90,7 @@
 
 #[test]
 fn late_requests_after_an_outage_leave_a_slot_for_those_within_their_target() {
-    let late = PlacementNeed { room: CapacityNeed::SpareSlot, ..NEED };
+    let late = PlacementNeed { capacity: CapacityNeed::SpareSlot, ..NEED };
     assert_eq!(cheapest_candidate(&[local(load(1, 0, 100))], &late), Some(0));
     assert_eq!(cheapest_candidate(&[local(load(2, 0, 100))], &late), None);
     assert_eq!(cheapest_candidate(&[local(load(2, 0, 100))], &NEED), Some(0));
