--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -133,7 +133,7 @@
 
     /// Says whether this entry's share of the cold server's rate has room.
     pub(crate) fn has_cold_room(&self, now: Instant) -> bool {
-        self.notes.lock().cold.has_room(now)
+        self.notes.lock().cold.has_capacity(now)
     }
 
     /// Takes one request from this entry's share of the cold server's rate.
--- a/crates/policy/src/cold_share.rs
+++ b/crates/policy/src/cold_share.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns whether [`ColdAllowance::take`] would grant a request at a rate above 0.
-    pub fn has_room(&self, now: Instant) -> bool {
+    pub fn has_capacity(&self, now: Instant) -> bool {
         self.next_due.is_none_or(|next_due| now >= next_due)
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -104,7 +104,7 @@
 
 impl PlacementCandidate {
     /// Returns whether the server has the free capacity that a request needs.
-    pub fn has_room(&self, need: &PlacementNeed) -> bool {
+    pub fn has_capacity(&self, need: &PlacementNeed) -> bool {
         match need.capacity {
             CapacityNeed::Within(limit) => {
                 !self.load.is_full() && self.expected_completion(need.usual_work) <= limit
@@ -135,7 +135,7 @@
         let limit = need.target.mul_f64(GOOD_ENOUGH).max(need.usual_work.mul_f64(1.05));
         !self.is_ill
             && self.failure_share < 0.1
-            && self.has_room(need)
+            && self.has_capacity(need)
             && self.expected_completion(need.usual_work) <= limit
     }
 
@@ -145,7 +145,7 @@
         self.is_good_enough(need)
             || (asked >= MAX_ASKED_FOR_GOOD
                 && !self.is_ill
-                && self.has_room(need)
+                && self.has_capacity(need)
                 && self.expected_completion(need.usual_work) <= need.target)
     }
 
@@ -170,7 +170,8 @@
     candidates: &[PlacementCandidate],
     need: &PlacementNeed,
 ) -> Option<usize> {
-    let eligible = candidates.iter().enumerate().filter(|(_, candidate)| candidate.has_room(need));
+    let eligible =
+        candidates.iter().enumerate().filter(|(_, candidate)| candidate.has_capacity(need));
     let best = eligible.min_by(|(_, a), (_, b)| a.cost(need).total_cmp(&b.cost(need)));
     best.map(|(index, _)| index)
 }
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -21,7 +21,7 @@
 
 impl CandidateLoad {
     /// Returns whether this entry may send the server another request.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.in_flight < self.limit
     }
 }
@@ -64,12 +64,12 @@
 }
 
 fn pick_with_room(candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize> {
-    let count = candidates.iter().filter(|candidate| candidate.has_room()).count();
+    let count = candidates.iter().filter(|candidate| candidate.has_capacity()).count();
     if count == 0 {
         return None;
     }
     let chosen = rng.random_range(0..count);
-    let mut with_room = candidates.iter().enumerate().filter(|(_, c)| c.has_room());
+    let mut with_room = candidates.iter().enumerate().filter(|(_, c)| c.has_capacity());
     with_room.nth(chosen).map(|(index, _)| index)
 }
 
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -228,8 +228,8 @@
 
     /// Returns whether a cold server owned by this entry is below its limit.
     pub fn has_own_cold(&self, now: Instant) -> bool {
-        let has_room = |server: &TrackedServer| server.in_flight < server.limit(now);
-        self.servers.iter().any(|server| server.ramp.is_some() && has_room(server))
+        let has_capacity = |server: &TrackedServer| server.in_flight < server.limit(now);
+        self.servers.iter().any(|server| server.ramp.is_some() && has_capacity(server))
     }
 
     /// Returns whether a server has answered a request successfully within the last second.
--- a/crates/testkit/src/selectors.rs
+++ b/crates/testkit/src/selectors.rs
@@ -32,5 +32,5 @@
 
 fn with_room(candidates: &[CandidateLoad]) -> impl Iterator<Item = usize> + '_ {
     let indexes = candidates.iter().enumerate();
-    indexes.filter(|(_, candidate)| candidate.has_room()).map(|(index, _)| index)
+    indexes.filter(|(_, candidate)| candidate.has_capacity()).map(|(index, _)| index)
 }
