--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -15,7 +15,7 @@
 use http::{StatusCode, Uri, header};
 use parking_lot::{Mutex, RwLock};
 use policy::{
-    BudgetLimits, CallerTimeouts, CapacityForecast, SharedBudget, StartupWait, UsualWork,
+    BudgetLimits, CallerTimeouts, CapacityForecast, ServiceTime, SharedBudget, StartupWait,
     retry_delay,
 };
 use runtime::{DecisionCounters, Histogram, Logger};
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub(crate) struct ServiceNotes {
     budget: SharedBudget,
-    pub(crate) usual_work: Option<UsualWork>,
+    pub(crate) usual_work: Option<ServiceTime>,
     pub(crate) line: Arc<ServiceLine>,
 }
 
@@ -323,7 +323,7 @@
 
     fn learn_work(&self, call: &ForwardedCall, observed: Duration) {
         self.with_notes(&call.pool.service, |notes| {
-            let usual = UsualWork::new(first_guess(&call.route));
+            let usual = ServiceTime::new(first_guess(&call.route));
             notes.usual_work.get_or_insert(usual).note(observed);
         });
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -19,9 +19,9 @@
 mod retry_delay;
 mod selection;
 mod service_load;
+mod service_time;
 mod shared_budget;
 mod slow;
-mod usual_work;
 mod wait_queue;
 
 pub use admission::{AdmissionGate, AdmissionSettings, retry_after};
@@ -46,7 +46,7 @@
     LoadSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView, ServiceLoad,
     expected_wait,
 };
+pub use service_time::ServiceTime;
 pub use shared_budget::{BudgetLimits, SharedBudget};
 pub use slow::MedianBound;
-pub use usual_work::UsualWork;
 pub use wait_queue::{WaitQueue, WaitRank, WaitTicket};
--- a/crates/policy/src/usual_work.rs
+++ b/crates/policy/src/service_time.rs
@@ -11,11 +11,11 @@
 
 /// A running estimate of the median.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UsualWork {
+pub struct ServiceTime {
     estimate: Duration,
 }
 
-impl UsualWork {
+impl ServiceTime {
     /// Returns an estimate with this initial value.
     pub fn new(initial: Duration) -> Self {
         Self { estimate: initial }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -3,7 +3,7 @@
 
 use hawthornhill_policy::{
     BudgetLimits, COLD_OWNERS, CallerTimeouts, CapacityForecast, CapacityNeed, ColdAllowance,
-    PlacementCandidate, PlacementNeed, ServerLoad, SharedBudget, UsualWork, WaitQueue, WaitRank,
+    PlacementCandidate, PlacementNeed, ServerLoad, ServiceTime, SharedBudget, WaitQueue, WaitRank,
     cheapest_candidate, owns_cold_server, retry_delay,
 };
 use std::time::{Duration, Instant};
@@ -205,7 +205,7 @@
 /// service time.
 #[test]
 fn noisy_neighbour_does_not_move_the_usual_service_time() {
-    let mut usual = UsualWork::new(Duration::from_millis(120));
+    let mut usual = ServiceTime::new(Duration::from_millis(120));
     for round in 0..200_u32 {
         // One answer in four takes four times as long.
         let millis = if round % 4 == 0 { 480 } else { 100 + u64::from(round % 7) * 5 };
