--- a/crates/gateway/src/server_search.rs
+++ b/crates/gateway/src/server_search.rs
@@ -105,7 +105,11 @@
     fn need(&self, call: &ForwardedCall, is_late: bool) -> PlacementNeed {
         let (usual_work, target) = (self.usual_work(call), call.route.target());
         if is_late {
-            return PlacementNeed { usual_work, target, capacity: CapacityNeed::SpareSlot };
+            return PlacementNeed {
+                service_time: usual_work,
+                target,
+                capacity: CapacityNeed::SpareSlot,
+            };
         }
         let left = call.target_at().saturating_duration_since(Instant::now());
         PlacementNeed::within(usual_work, target, left)
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -79,7 +79,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementNeed {
     /// Usual service time at an idle server.
-    pub usual_work: Duration,
+    pub service_time: Duration,
     /// Target latency of the route.
     pub target: Duration,
     /// Free capacity that the server must have.
@@ -89,16 +89,20 @@
 impl PlacementNeed {
     /// Returns the requirements of a request with `left` of its target latency remaining. A target
     /// that even an idle server cannot meet is replaced by [`PlacementNeed::reachable_target`].
-    pub fn within(usual_work: Duration, target: Duration, left: Duration) -> Self {
+    pub fn within(service_time: Duration, target: Duration, left: Duration) -> Self {
         let used = target.saturating_sub(left);
-        let reachable = Self::reachable_target(usual_work, target);
-        Self { usual_work, target, capacity: CapacityNeed::Within(reachable.saturating_sub(used)) }
+        let reachable = Self::reachable_target(service_time, target);
+        Self {
+            service_time,
+            target,
+            capacity: CapacityNeed::Within(reachable.saturating_sub(used)),
+        }
     }
 
     /// Returns the target latency, or 1.1 times the service time at a nearly full server if that is
     /// longer.
-    pub fn reachable_target(usual_work: Duration, target: Duration) -> Duration {
-        target.max(usual_work.mul_f64(NEARLY_FULL_FACTOR * 1.1))
+    pub fn reachable_target(service_time: Duration, target: Duration) -> Duration {
+        target.max(service_time.mul_f64(NEARLY_FULL_FACTOR * 1.1))
     }
 }
 
@@ -107,7 +111,7 @@
     pub fn has_capacity(&self, need: &PlacementNeed) -> bool {
         match need.capacity {
             CapacityNeed::Within(limit) => {
-                !self.load.is_full() && self.expected_completion(need.usual_work) <= limit
+                !self.load.is_full() && self.expected_completion(need.service_time) <= limit
             }
             CapacityNeed::SpareSlot => {
                 self.load.running + self.load.waiting + 1 < self.load.slots.max(2)
@@ -116,7 +120,7 @@
     }
 
     /// Returns the time in which the server is expected to answer another request.
-    pub fn expected_completion(&self, usual_work: Duration) -> Duration {
+    pub fn expected_completion(&self, service_time: Duration) -> Duration {
         let slots = f64::from(self.load.slots.max(1));
         let running = f64::from(self.load.running) + 1.0;
         let mut factor = f64::from(self.load.slowness_percent.max(1)) / 100.0;
@@ -127,16 +131,16 @@
             factor *= COLD_FACTOR;
         }
         let ahead = (running + f64::from(self.load.waiting) - slots).max(0.0);
-        usual_work.mul_f64(factor * (1.0 + ahead / slots))
+        service_time.mul_f64(factor * (1.0 + ahead / slots))
     }
 
     /// Returns whether to take the server without asking others.
     pub fn is_good_enough(&self, need: &PlacementNeed) -> bool {
-        let limit = need.target.mul_f64(GOOD_ENOUGH).max(need.usual_work.mul_f64(1.05));
+        let limit = need.target.mul_f64(GOOD_ENOUGH).max(need.service_time.mul_f64(1.05));
         !self.is_ill
             && self.failure_share < 0.1
             && self.has_capacity(need)
-            && self.expected_completion(need.usual_work) <= limit
+            && self.expected_completion(need.service_time) <= limit
     }
 
     /// Returns whether to take the server, given the number of servers asked: a good one at once,
@@ -146,14 +150,14 @@
             || (asked >= MAX_ASKED_FOR_GOOD
                 && !self.is_ill
                 && self.has_capacity(need)
-                && self.expected_completion(need.usual_work) <= need.target)
+                && self.expected_completion(need.service_time) <= need.target)
     }
 
     /// Returns the cost by which candidates are compared, in seconds. A bad health report adds the
     /// target latency.
     pub fn cost(&self, need: &PlacementNeed) -> f64 {
         let target = need.target.as_secs_f64();
-        let mut cost = self.expected_completion(need.usual_work).as_secs_f64();
+        let mut cost = self.expected_completion(need.service_time).as_secs_f64();
         if !self.is_local {
             cost += REMOTE_PENALTY * target;
         }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -10,7 +10,7 @@
 use types::EntryName;
 
 const NEED: PlacementNeed = PlacementNeed {
-    usual_work: Duration::from_millis(120),
+    service_time: Duration::from_millis(120),
     target: Duration::from_millis(300),
     capacity: CapacityNeed::Within(Duration::from_millis(300)),
 };
@@ -61,7 +61,7 @@
     // request.
     assert_eq!(cheapest_candidate(&[local(load(3, 0, 100))], &NEED), Some(0));
     assert_eq!(cheapest_candidate(&[local(load(3, 1, 100))], &NEED), None);
-    let half_used = PlacementNeed::within(NEED.usual_work, NEED.target, NEED.target / 2);
+    let half_used = PlacementNeed::within(NEED.service_time, NEED.target, NEED.target / 2);
     assert_eq!(cheapest_candidate(&[local(load(3, 0, 100))], &half_used), None);
     assert_eq!(cheapest_candidate(&[local(load(0, 0, 100))], &half_used), Some(0));
 }
