--- a/crates/gateway/src/placer.rs
+++ b/crates/gateway/src/placer.rs
@@ -364,7 +364,7 @@
             load: signs.load.unwrap_or_else(|| ServerLoad::idle(self.server.slots)),
             is_local: self.is_local,
             is_cold: !warm_up_left.is_zero(),
-            is_ill: answer.status != StatusCode::OK,
+            is_unhealthy: answer.status != StatusCode::OK,
             failure_share: self.server.failure_share(Instant::now()),
         };
         Some(ProbeAnswer { line, candidate, warm_up_left })
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -61,7 +61,7 @@
     /// Whether the server is cold.
     pub is_cold: bool,
     /// Whether the server's health report is bad.
-    pub is_ill: bool,
+    pub is_unhealthy: bool,
     /// Share of the entry's recent requests to this server that failed, 0 to 1.
     pub failure_share: f64,
 }
@@ -137,7 +137,7 @@
     /// Returns whether to take the server without asking others.
     pub fn is_good_enough(&self, need: &PlacementNeed) -> bool {
         let limit = need.target.mul_f64(GOOD_ENOUGH).max(need.service_time.mul_f64(1.05));
-        !self.is_ill
+        !self.is_unhealthy
             && self.failure_share < 0.1
             && self.has_capacity(need)
             && self.expected_completion(need.service_time) <= limit
@@ -148,7 +148,7 @@
     pub fn is_acceptable(&self, need: &PlacementNeed, asked: usize) -> bool {
         self.is_good_enough(need)
             || (asked >= MAX_ASKED_FOR_GOOD
-                && !self.is_ill
+                && !self.is_unhealthy
                 && self.has_capacity(need)
                 && self.expected_completion(need.service_time) <= need.target)
     }
@@ -161,7 +161,7 @@
         if !self.is_local {
             cost += REMOTE_PENALTY * target;
         }
-        if self.is_ill {
+        if self.is_unhealthy {
             cost += target;
         }
         // A failed request costs at least its target latency; it is weighted with twice that.
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -20,7 +20,13 @@
 }
 
 fn local(load: ServerLoad) -> PlacementCandidate {
-    PlacementCandidate { load, is_local: true, is_cold: false, is_ill: false, failure_share: 0.0 }
+    PlacementCandidate {
+        load,
+        is_local: true,
+        is_cold: false,
+        is_unhealthy: false,
+        failure_share: 0.0,
+    }
 }
 
 fn remote(load: ServerLoad) -> PlacementCandidate {
@@ -82,10 +88,10 @@
 
 #[test]
 fn server_with_a_bad_health_report_is_used_as_a_last_resort() {
-    let ill = PlacementCandidate { is_ill: true, ..local(load(0, 0, 100)) };
-    assert!(!ill.is_good_enough(&NEED));
-    assert_eq!(cheapest_candidate(&[ill, local(load(0, 0, 100))], &NEED), Some(1));
-    assert_eq!(cheapest_candidate(&[ill], &NEED), Some(0));
+    let unhealthy = PlacementCandidate { is_unhealthy: true, ..local(load(0, 0, 100)) };
+    assert!(!unhealthy.is_good_enough(&NEED));
+    assert_eq!(cheapest_candidate(&[unhealthy, local(load(0, 0, 100))], &NEED), Some(1));
+    assert_eq!(cheapest_candidate(&[unhealthy], &NEED), Some(0));
 }
 
 #[test]
