--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -152,7 +152,7 @@
             },
             load: LoadSettings {
                 cold_concurrency: DEFAULT_COLD_CONCURRENCY,
-                max_paused_percent: MAX_PAUSED_PERCENT,
+                max_ejected_percent: MAX_PAUSED_PERCENT,
                 selector: Arc::new(LatencySelector),
             },
             intake: IntakeSettings {
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -25,7 +25,7 @@
     /// Initial limit on concurrent requests at a cold server.
     pub cold_concurrency: u16,
     /// Maximum share of a service's servers that are ejected for bad health, in percent.
-    pub max_paused_percent: usize,
+    pub max_ejected_percent: usize,
     /// Policy for the choice among servers below their limits.
     pub selector: Arc<dyn ServerSelector>,
 }
@@ -297,7 +297,7 @@
         let pairs = || self.servers.iter().zip(candidates.iter());
         let eligible = candidates.iter().filter(|candidate| candidate.limit > 0).count();
         let ejected = pairs().filter(|(server, candidate)| is_ejected(server, candidate)).count();
-        let allowed = (eligible + ejected) * self.settings.max_paused_percent / 100;
+        let allowed = (eligible + ejected) * self.settings.max_ejected_percent / 100;
         let mut excess = ejected.saturating_sub(allowed);
         for (server, candidate) in self.servers.iter().zip(candidates.iter_mut()) {
             if excess > 0 && is_ejected(server, candidate) {
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -241,7 +241,7 @@
 fn load_settings() -> LoadSettings {
     LoadSettings {
         cold_concurrency: 1,
-        max_paused_percent: 50,
+        max_ejected_percent: 50,
         selector: Arc::new(LatencySelector),
     }
 }
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -54,7 +54,7 @@
     fn new(selector: Arc<dyn ServerSelector>, servers: &[FakeServer], seed: u64) -> Self {
         let mut load = ServiceLoad::new(LoadSettings {
             cold_concurrency: 1,
-            max_paused_percent: 50,
+            max_ejected_percent: 50,
             selector,
         });
         load.update(servers.iter().map(server_view).collect());
