--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -10,8 +10,8 @@
 use parking_lot::{Mutex, RwLock};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
 use policy::{
-    AnnounceOutcome, BEAT_LIMIT, DirectoryServer, LoadSettings, PickedServer, ServerDirectory,
-    ServerView,
+    AnnounceOutcome, DirectoryServer, HEARTBEAT_TIMEOUT, LoadSettings, PickedServer,
+    ServerDirectory, ServerView,
 };
 use runtime::EventKind;
 use server::{AnnounceAnswer, AnnounceHandler, AnnounceRefusal};
@@ -374,7 +374,7 @@
 
     fn is_confirmed(&self, owner: &EntryName) -> bool {
         let clocks = self.clocks.read();
-        clocks.get(owner).is_some_and(|clock| clock.is_within(BEAT_LIMIT, Instant::now()))
+        clocks.get(owner).is_some_and(|clock| clock.is_within(HEARTBEAT_TIMEOUT, Instant::now()))
     }
 }
 
--- a/crates/policy/src/directory.rs
+++ b/crates/policy/src/directory.rs
@@ -14,7 +14,7 @@
 };
 
 /// Time without a heartbeat after which a shard owner's records are no longer acted on.
-pub const BEAT_LIMIT: Duration = Duration::from_secs(2);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The copy of one owner's registry.
 #[derive(Debug)]
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -28,7 +28,7 @@
 pub use caller_timeouts::CallerTimeouts;
 pub use cold_share::{COLD_OWNERS, ColdAllowance, owns_cold_server, rendezvous_weight};
 pub use cold_start::ColdRamp;
-pub use directory::{BEAT_LIMIT, DirectoryServer, ServerDirectory};
+pub use directory::{DirectoryServer, HEARTBEAT_TIMEOUT, ServerDirectory};
 pub use entry_ranking::rank_entries;
 pub use first_routes::StartupWait;
 pub use freshness::FreshnessGate;
