--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -231,7 +231,7 @@
 
     /// Says whether a server has answered a request of this entry lately.
     pub(crate) fn has_answered_lately(&self, server: &ServerName, now: Instant) -> bool {
-        self.state.lock().load.has_answered_lately(server, now)
+        self.state.lock().load.has_recent_answer(server, now)
     }
 
     /// Returns the owners that may give cold servers work, if this entry may give none any.
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -233,7 +233,7 @@
     }
 
     /// Returns whether a server has answered a request successfully within the last second.
-    pub fn has_answered_lately(&self, server: &ServerName, now: Instant) -> bool {
+    pub fn has_recent_answer(&self, server: &ServerName, now: Instant) -> bool {
         let found =
             self.servers.iter().find(|known| known.view.record.announcement.server == *server);
         found.is_some_and(|known| !known.recent_latency(now).is_zero())
