--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -222,7 +222,7 @@
         let now = Instant::now();
         let mut state = self.state.lock();
         let is_recent = |at: Instant| now.saturating_duration_since(at) < WARM_UP_INTERVAL;
-        if state.last_own_warm_up.is_some_and(is_recent) || !state.load.has_own_cold(now) {
+        if state.last_own_warm_up.is_some_and(is_recent) || !state.load.has_cold_capacity(now) {
             return false;
         }
         state.last_own_warm_up = Some(now);
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -227,7 +227,7 @@
     }
 
     /// Returns whether a cold server owned by this entry is below its limit.
-    pub fn has_own_cold(&self, now: Instant) -> bool {
+    pub fn has_cold_capacity(&self, now: Instant) -> bool {
         let has_capacity = |server: &TrackedServer| server.in_flight < server.limit(now);
         self.servers.iter().any(|server| server.ramp.is_some() && has_capacity(server))
     }
