--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -154,8 +154,8 @@
         state.load.set_cold_concurrency(spec.cold_concurrency);
         state.retries.set_percent(spec.retry_percent);
         state.hedges.set_percent(spec.hedge_percent);
-        state.retries.note_request();
-        state.hedges.note_request();
+        state.retries.record_request();
+        state.hedges.record_request();
     }
 
     /// Takes one retry from the budget.
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -157,7 +157,7 @@
         let trail = Mutex::default();
         let call = ForwardedCall { route, pool, request, arrived, waited, view, trail };
         self.with_notes(&call.pool.service, |notes| {
-            notes.budget.note_request(arrived, &self.budget);
+            notes.budget.record_request(arrived, &self.budget);
         });
         if is_idempotent {
             let _held = held;
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -26,7 +26,7 @@
     }
 
     /// Records the first attempt of a request.
-    pub fn note_request(&mut self) {
+    pub fn record_request(&mut self) {
         self.hundredths = (self.hundredths + self.percent).min(MAX_HUNDREDTHS);
     }
 
--- a/crates/policy/src/shared_budget.rs
+++ b/crates/policy/src/shared_budget.rs
@@ -37,7 +37,7 @@
 
 impl SharedBudget {
     /// Records a request.
-    pub fn note_request(&mut self, now: Instant, limits: &BudgetLimits) {
+    pub fn record_request(&mut self, now: Instant, limits: &BudgetLimits) {
         self.drop_expired(now, limits);
         self.requests.push_back(now);
     }
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -14,7 +14,7 @@
         let mut budget = RetryBudget::new(percent);
         let mut granted = 0;
         for _ in 0..requests {
-            budget.note_request();
+            budget.record_request();
             granted += u32::from(budget.take());
         }
         prop_assert!(granted * 100 <= requests * u32::from(percent) + 100);
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -150,7 +150,7 @@
     for millis in 0..60_000_u64 {
         let now = start + Duration::from_millis(millis);
         if millis % (1_000 / requests_a_second) == 0 {
-            budget.note_request(now, &limits);
+            budget.record_request(now, &limits);
         }
         // Retries each request about ten times: 62.5 a second against 6 requests a second.
         if millis % 16 == 0 && budget.take(now, &limits, entries) {
