--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -323,7 +323,7 @@
         let notes = {
             let mut state = self.state.lock();
             if let AttemptOutcome::Success(latency) = outcome {
-                state.latency.note(latency);
+                state.latency.record(latency);
             }
             state.load.release(server, outcome, stated, Instant::now())
         };
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -23,7 +23,7 @@
 
 impl LatencyTracker {
     /// Records one sample.
-    pub fn note(&mut self, latency: Duration) {
+    pub fn record(&mut self, latency: Duration) {
         let sample = latency.as_secs_f64() * 1e6;
         self.samples += 1;
         if self.samples == 1 {
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -431,7 +431,7 @@
             if self.recent_latency(now).is_zero() {
                 self.latency = LatencyTracker::default();
             }
-            self.latency.note(latency);
+            self.latency.record(latency);
             self.sampled = Some(now);
         }
         let is_warm = match (&mut self.ramp, outcome) {
