--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -324,7 +324,7 @@
     fn learn_work(&self, call: &ForwardedCall, observed: Duration) {
         self.with_notes(&call.pool.service, |notes| {
             let usual = ServiceTime::new(first_guess(&call.route));
-            notes.usual_work.get_or_insert(usual).note(observed);
+            notes.usual_work.get_or_insert(usual).record(observed);
         });
     }
 
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -27,7 +27,7 @@
     }
 
     /// Records one service time, normalized to the usual speed of the server.
-    pub fn note(&mut self, observed: Duration) {
+    pub fn record(&mut self, observed: Duration) {
         self.estimate = if observed > self.estimate {
             self.estimate.mul_f64(STEP).min(observed)
         } else {
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -215,12 +215,12 @@
     for round in 0..200_u32 {
         // One answer in four takes four times as long.
         let millis = if round % 4 == 0 { 480 } else { 100 + u64::from(round % 7) * 5 };
-        usual.note(Duration::from_millis(millis));
+        usual.record(Duration::from_millis(millis));
         let estimate = usual.get().as_millis();
         assert!((95..=150).contains(&estimate), "{estimate} ms after {round}");
     }
     // A lasting change is followed.
-    (0..60).for_each(|_| usual.note(Duration::from_millis(300)));
+    (0..60).for_each(|_| usual.record(Duration::from_millis(300)));
     assert_eq!(usual.get(), Duration::from_millis(300));
 }
 
