--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -349,7 +349,7 @@
         if routes.len() > MAX_PATIENCE_ROUTES {
             routes.clear();
         }
-        routes.entry(route.name.clone()).or_default().note(now, stated)
+        routes.entry(route.name.clone()).or_default().record(now, stated)
     }
 
     pub(crate) fn with_notes<T>(
--- a/crates/policy/src/caller_timeouts.rs
+++ b/crates/policy/src/caller_timeouts.rs
@@ -26,7 +26,7 @@
 impl CallerTimeouts {
     /// Records the remaining timeout that a caller states, and returns the time that it has probably
     /// spent on earlier attempts.
-    pub fn note(&mut self, now: Instant, stated: Duration) -> Duration {
+    pub fn record(&mut self, now: Instant, stated: Duration) -> Duration {
         let is_expired = self
             .recorded
             .is_none_or(|recorded| now.saturating_duration_since(recorded) > LONGEST_MAX_AGE);
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -131,13 +131,13 @@
 fn retrying_caller_is_recognized_by_its_shorter_timeout() {
     let now = Instant::now();
     let mut timeouts = CallerTimeouts::default();
-    assert_eq!(timeouts.note(now, Duration::from_millis(2_500)), Duration::ZERO);
+    assert_eq!(timeouts.record(now, Duration::from_millis(2_500)), Duration::ZERO);
     let left = Duration::from_millis(1_900);
-    assert_eq!(timeouts.note(now, left), Duration::from_millis(400));
+    assert_eq!(timeouts.record(now, left), Duration::from_millis(400));
     // A slightly shorter timeout is within the spread of initial timeouts: a first attempt.
-    assert_eq!(timeouts.note(now, Duration::from_millis(2_100)), Duration::ZERO);
+    assert_eq!(timeouts.record(now, Duration::from_millis(2_100)), Duration::ZERO);
     // The longest timeout expires when it is no longer stated.
-    assert_eq!(timeouts.note(now + Duration::from_secs(61), left), Duration::ZERO);
+    assert_eq!(timeouts.record(now + Duration::from_secs(61), left), Duration::ZERO);
 }
 
 #[test]
