--- a/crates/policy/examples/bench_slow.rs
+++ b/crates/policy/examples/bench_slow.rs
@@ -4,7 +4,7 @@
 //!
 //! Run: `cargo run --release -p hawthornhill-policy --example bench_slow`
 
-use hawthornhill_policy::MedianBound;
+use hawthornhill_policy::MedianTest;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
 trait SlowDetector {
     /// Records one latency of the server, given the service's typical latency. Returns whether the
     /// server counts as slow.
-    fn note(&mut self, latency: Duration, typical: Duration) -> bool;
+    fn record(&mut self, latency: Duration, typical: Duration) -> bool;
 }
 
-impl SlowDetector for MedianBound {
-    fn note(&mut self, latency: Duration, typical: Duration) -> bool {
-        Self::note(self, latency, typical)
+impl SlowDetector for MedianTest {
+    fn record(&mut self, latency: Duration, typical: Duration) -> bool {
+        Self::record(self, latency, typical)
     }
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl SlowDetector for MeanThreshold {
-    fn note(&mut self, latency: Duration, typical: Duration) -> bool {
+    fn record(&mut self, latency: Duration, typical: Duration) -> bool {
         self.count += 1;
         self.sum += latency.as_secs_f64() / typical.as_secs_f64().max(f64::EPSILON);
         if self.count < self.window {
@@ -92,11 +92,11 @@
     let detectors: [(&str, DetectorFactory); 7] = [
         ("mean of 16 over 2", || Box::new(MeanThreshold::new(16, 2.0))),
         ("mean of 64 over 2", || Box::new(MeanThreshold::new(64, 2.0))),
-        ("bound 1e-6 of 1000", || Box::new(MedianBound::new(1.5, 1e-6, 1_000))),
-        ("bound 1e-6 of 256", || Box::new(MedianBound::new(1.5, 1e-6, 256))),
-        ("bound 1e-6 of 128", || Box::new(MedianBound::new(1.5, 1e-6, 128))),
-        ("bound 1e-4 of 256", || Box::new(MedianBound::new(1.5, 1e-4, 256))),
-        ("bound 1e-4 of 128", || Box::new(MedianBound::new(1.5, 1e-4, 128))),
+        ("bound 1e-6 of 1000", || Box::new(MedianTest::new(1.5, 1e-6, 1_000))),
+        ("bound 1e-6 of 256", || Box::new(MedianTest::new(1.5, 1e-6, 256))),
+        ("bound 1e-6 of 128", || Box::new(MedianTest::new(1.5, 1e-6, 128))),
+        ("bound 1e-4 of 256", || Box::new(MedianTest::new(1.5, 1e-4, 256))),
+        ("bound 1e-4 of 128", || Box::new(MedianTest::new(1.5, 1e-4, 128))),
     ];
     for noise in [LatencyNoise::Exponential, LatencyNoise::HeavyTail, LatencyNoise::Bursts] {
         for (name, make) in &detectors {
@@ -105,18 +105,18 @@
             let mut false_ejections = 0;
             for number in 0..HEALTHY_HOURS * 3_600 * ANSWERS_PER_S {
                 let latency = sample_latency(noise, number, &mut rng);
-                false_ejections += u32::from(detector.note(latency, typical));
+                false_ejections += u32::from(detector.record(latency, typical));
             }
             let mut times_ms: Vec<u32> = Vec::new();
             for run in 0..SLOW_RUNS {
                 let mut detector = make();
                 // Varies the point in the detector's window at which the server becomes slow.
                 for number in 0..300 + run {
-                    detector.note(sample_latency(noise, number, &mut rng), typical);
+                    detector.record(sample_latency(noise, number, &mut rng), typical);
                 }
                 let slow = (1..).find(|number| {
                     let latency = 3 * sample_latency(noise, 300 + run + number, &mut rng);
-                    detector.note(latency, typical)
+                    detector.record(latency, typical)
                 });
                 times_ms.push(slow.unwrap_or(u32::MAX) * 1_000 / ANSWERS_PER_S);
             }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -48,5 +48,5 @@
 };
 pub use service_time::ServiceTime;
 pub use shared_budget::{BudgetLimits, SharedBudget};
-pub use slow::MedianBound;
+pub use slow::MedianTest;
 pub use wait_queue::{WaitQueue, WaitRank, WaitTicket};
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -1,7 +1,7 @@
 //! One entry's state of the servers of one service, and the choice of a server for a request.
 
 use crate::{
-    AttemptOutcome, CandidateLoad, ColdRamp, LatencyTracker, MedianBound, ServerHealth,
+    AttemptOutcome, CandidateLoad, ColdRamp, LatencyTracker, MedianTest, ServerHealth,
     ServerSelector,
 };
 use rand::RngCore;
@@ -53,7 +53,7 @@
     /// Requests in flight by the last load report, and the time of the report.
     report: Option<(u32, Instant)>,
     health: ServerHealth,
-    slowness: MedianBound,
+    slowness: MedianTest,
     /// Slow start, if this entry owns the server and it is cold.
     ramp: Option<ColdRamp>,
     /// End of the suspicion of this incarnation, unless its owner sends a changed record first.
@@ -213,7 +213,7 @@
         }
         let mut release = server.record_end(outcome, report, now);
         if let AttemptOutcome::Success(latency) = outcome {
-            release.is_slow = server.slowness.note(latency, typical);
+            release.is_slow = server.slowness.record(latency, typical);
             if release.is_slow {
                 server.health.eject_slow(now);
             }
@@ -343,7 +343,7 @@
                 sampled: None,
                 report: None,
                 health: ServerHealth::default(),
-                slowness: MedianBound::default(),
+                slowness: MedianTest::default(),
                 ramp: None,
                 suspected_until: None,
             },
--- a/crates/policy/src/slow.rs
+++ b/crates/policy/src/slow.rs
@@ -21,7 +21,7 @@
 /// exactly when less than that fraction of the samples is within the limit, so that counting is
 /// enough.
 #[derive(Debug, Clone)]
-pub struct MedianBound {
+pub struct MedianTest {
     factor: f64,
     alpha: f64,
     horizon: u32,
@@ -29,7 +29,7 @@
     within_limit: u32,
 }
 
-impl MedianBound {
+impl MedianTest {
     /// Returns a test of the median against `factor` times the typical latency, with probability
     /// `alpha` of a false positive in each run of `horizon` latencies.
     pub fn new(factor: f64, alpha: f64, horizon: u32) -> Self {
@@ -44,17 +44,17 @@
     }
 }
 
-impl Default for MedianBound {
+impl Default for MedianTest {
     fn default() -> Self {
         Self::new(SLOW_FACTOR, SLOW_ALPHA, SLOW_HORIZON)
     }
 }
 
-impl MedianBound {
+impl MedianTest {
     /// Records one latency of the server, given the service's typical latency. Returns whether the
     /// server counts as slow; if so, the test starts over. A typical latency of zero means unknown,
     /// and the sample is ignored.
-    pub fn note(&mut self, latency: Duration, typical: Duration) -> bool {
+    pub fn record(&mut self, latency: Duration, typical: Duration) -> bool {
         if typical.is_zero() {
             return false;
         }
