--- a/crates/policy/src/first_routes.rs
+++ b/crates/policy/src/first_routes.rs
@@ -1,7 +1,7 @@
 //! How long requests wait for the routes of an entry that has just started.
 //!
 //! Replicas that start together with the entry elect a leader and send a view within a fraction of
-//! a second. A caller refused in that time would retry later than it could have had its answer.
+//! a second. A caller refused in that time would retry only after its answer could have been ready.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
     fn default() -> Self {
         // Twice the time that the slowest of 132 entries needed after a restart of all processes.
         let expected_within = Duration::from_secs(1);
-        // Leaves time for the usual work within most target latencies.
+        // Together with the usual service time, still within most target latencies.
         let max_wait = Duration::from_millis(600);
         Self { expected_within, max_wait }
     }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -41,7 +41,7 @@
 
 /// The health of one server as seen by one entry.
 ///
-/// Selection by latency favours a server that fails fast, so the server is ejected once its failure
+/// Selection by latency favors a server that fails fast, so the server is ejected once its failure
 /// rate is too high.
 #[derive(Debug, Clone, Default)]
 pub struct ServerHealth {
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -63,14 +63,14 @@
     latency.as_secs_f64() * (ahead + 1.0)
 }
 
-fn pick_with_room(candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize> {
+fn pick_below_limit(candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize> {
     let count = candidates.iter().filter(|candidate| candidate.has_capacity()).count();
     if count == 0 {
         return None;
     }
     let chosen = rng.random_range(0..count);
-    let mut with_room = candidates.iter().enumerate().filter(|(_, c)| c.has_capacity());
-    with_room.nth(chosen).map(|(index, _)| index)
+    let mut below_limit = candidates.iter().enumerate().filter(|(_, c)| c.has_capacity());
+    below_limit.nth(chosen).map(|(index, _)| index)
 }
 
 fn better_of_two(
@@ -78,10 +78,10 @@
     rng: &mut dyn RngCore,
     cost: impl Fn(&CandidateLoad) -> f64,
 ) -> Option<usize> {
-    let first = pick_with_room(candidates, rng)?;
+    let first = pick_below_limit(candidates, rng)?;
     let mut others: SmallVec<[CandidateLoad; 16]> = candidates.into();
     others[first].limit = 0;
-    let Some(second) = pick_with_room(&others, rng) else {
+    let Some(second) = pick_below_limit(&others, rng) else {
         return Some(first);
     };
     let is_better = cost(&candidates[second]) < cost(&candidates[first]);
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Maximum factor by which one observation moves the estimate.
-const STEP: f64 = 1.04;
+const MAX_STEP_FACTOR: f64 = 1.04;
 
 /// A running estimate of the median.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,9 +29,9 @@
     /// Records one service time, normalized to the usual speed of the server.
     pub fn record(&mut self, observed: Duration) {
         self.estimate = if observed > self.estimate {
-            self.estimate.mul_f64(STEP).min(observed)
+            self.estimate.mul_f64(MAX_STEP_FACTOR).min(observed)
         } else {
-            self.estimate.div_f64(STEP).max(observed)
+            self.estimate.div_f64(MAX_STEP_FACTOR).max(observed)
         };
     }
 }
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -331,8 +331,8 @@
 
 impl ServerSelector for RandomSelector {
     fn pick(&self, candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize> {
-        let with_room = (0..candidates.len()).filter(|index| candidates[*index].has_capacity());
-        with_room.choose(rng)
+        let below_limit = (0..candidates.len()).filter(|index| candidates[*index].has_capacity());
+        below_limit.choose(rng)
     }
 }
 
