--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Utilization above which a server slows down.
-const NEARLY_FULL: f64 = 0.8;
+const NEARLY_FULL_UTILIZATION: f64 = 0.8;
 /// Factor on the service time at a server above that utilization.
 const NEARLY_FULL_FACTOR: f64 = 1.7;
 /// Factor on the service time at a cold server.
@@ -18,7 +18,7 @@
 const REMOTE_PENALTY: f64 = 0.15;
 /// Part of the target latency within which a server must be expected to answer to be taken without
 /// asking others.
-const GOOD_ENOUGH: f64 = 0.7;
+const GOOD_ENOUGH_SHARE: f64 = 0.7;
 /// Queue length at which a server counts as full, in multiples of its slots.
 const MAX_QUEUE_FACTOR: f64 = 1.0;
 
@@ -44,7 +44,7 @@
         Self { running: 0, waiting: 0, slots, slowness_percent: 100 }
     }
 
-    /// Returns whether the queue may have no place for another request.
+    /// Returns whether another request would exceed the slots and the queue.
     pub fn is_full(&self) -> bool {
         let capacity = f64::from(self.slots) * (1.0 + MAX_QUEUE_FACTOR);
         f64::from(self.running + self.waiting + 1) > capacity
@@ -80,7 +80,7 @@
 pub struct PlacementNeed {
     /// Usual service time at an idle server.
     pub service_time: Duration,
-    /// Target latency of the route.
+    /// Target latency of the route, up to which the answer is of full use.
     pub target: Duration,
     /// Free capacity that the server must have.
     pub capacity: CapacityNeed,
@@ -88,7 +88,8 @@
 
 impl PlacementNeed {
     /// Returns the requirements of a request with `left` of its target latency remaining. A target
-    /// that even an idle server cannot meet is replaced by [`PlacementNeed::reachable_target`].
+    /// that is too short for the service time is extended to [`PlacementNeed::reachable_target`], so
+    /// that the request can still be placed.
     pub fn within(service_time: Duration, target: Duration, left: Duration) -> Self {
         let used = target.saturating_sub(left);
         let reachable = Self::reachable_target(service_time, target);
@@ -124,7 +125,7 @@
         let slots = f64::from(self.load.slots.max(1));
         let running = f64::from(self.load.running) + 1.0;
         let mut factor = f64::from(self.load.slowness_percent.max(1)) / 100.0;
-        if running / slots > NEARLY_FULL {
+        if running / slots > NEARLY_FULL_UTILIZATION {
             factor *= NEARLY_FULL_FACTOR;
         }
         if self.is_cold {
@@ -136,15 +137,15 @@
 
     /// Returns whether to take the server without asking others.
     pub fn is_good_enough(&self, need: &PlacementNeed) -> bool {
-        let limit = need.target.mul_f64(GOOD_ENOUGH).max(need.service_time.mul_f64(1.05));
+        let limit = need.target.mul_f64(GOOD_ENOUGH_SHARE).max(need.service_time.mul_f64(1.05));
         !self.is_unhealthy
             && self.failure_share < 0.1
             && self.has_capacity(need)
             && self.expected_completion(need.service_time) <= limit
     }
 
-    /// Returns whether to take the server, given the number of servers asked: a good one at once,
-    /// after a few others any healthy one that is expected to meet the target.
+    /// Returns whether to take the server, given the number of servers asked. A good one is taken at
+    /// once; after several others, any healthy one that is expected to meet the target.
     pub fn is_acceptable(&self, need: &PlacementNeed, asked: usize) -> bool {
         self.is_good_enough(need)
             || (asked >= MAX_ASKED_FOR_GOOD
