--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -23,7 +23,7 @@
 const MAX_QUEUE_FACTOR: f64 = 1.0;
 
 /// Number of servers asked after which any that is expected to meet the target is taken.
-const MAX_ASKED_FOR_GOOD: usize = 5;
+const MIN_ASKED_TO_ACCEPT: usize = 5;
 
 /// A server's report of its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -148,7 +148,7 @@
     /// once; after several others, any healthy one that is expected to meet the target.
     pub fn is_acceptable(&self, need: &PlacementNeed, asked: usize) -> bool {
         self.is_good_enough(need)
-            || (asked >= MAX_ASKED_FOR_GOOD
+            || (asked >= MIN_ASKED_TO_ACCEPT
                 && !self.is_unhealthy
                 && self.has_capacity(need)
                 && self.expected_completion(need.service_time) <= need.target)
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -137,22 +137,25 @@
 fn cold_server_is_known_only_from_its_current_owner() {
     let now = Instant::now();
     let state = cluster(&["a", "b"]);
-    let rightful = state.view().server_lease(&name("x")).expect("owner").owner.clone();
-    let other = if rightful.as_str() == "a" { "b" } else { "a" };
-    let mut wrong = ServerRegistry::new(owner(other, 1));
-    wrong.announce(&announcement("x", 9, 0, ServerState::Ready), None, now);
+    let current_owner = state.view().server_lease(&name("x")).expect("owner").owner.clone();
+    let other_owner = if current_owner.as_str() == "a" { "b" } else { "a" };
+    let mut other_registry = ServerRegistry::new(owner(other_owner, 1));
+    other_registry.announce(&announcement("x", 9, 0, ServerState::Ready), None, now);
     let mut directory = ServerDirectory::default();
-    pull(&mut directory, &wrong, now);
+    pull(&mut directory, &other_registry, now);
     assert!(
         directory.servers(&name("s"), state.view()).is_empty(),
         "the record is not from the current owner"
     );
-    let mut right = ServerRegistry::new(owner(rightful.as_str(), 1));
-    right.announce(&announcement("x", 2, 0, ServerState::Leaving), None, now);
-    pull(&mut directory, &right, now);
+    let mut current_registry = ServerRegistry::new(owner(current_owner.as_str(), 1));
+    current_registry.announce(&announcement("x", 2, 0, ServerState::Leaving), None, now);
+    pull(&mut directory, &current_registry, now);
     let servers = directory.servers(&name("s"), state.view());
     assert_eq!(servers.len(), 1);
-    assert_eq!((&servers[0].owner, servers[0].record.stage), (&rightful, ServerStage::Leaving));
+    assert_eq!(
+        (&servers[0].owner, servers[0].record.stage),
+        (&current_owner, ServerStage::Leaving)
+    );
 }
 
 #[test]
