--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -4,8 +4,8 @@
 use crate::EntryContext;
 use parking_lot::Mutex;
 use policy::{
-    AttemptOutcome, LatencyTracker, LoadSettings, PickResult, PickedServer, ReleaseNotes,
-    RetryBudget, ServerView, ServiceLoad, StatedLoad, expected_wait,
+    AttemptOutcome, LatencyTracker, LoadSettings, PickResult, PickedServer, ReleaseOutcome,
+    RetryBudget, ServerReport, ServerView, ServiceLoad, expected_wait,
 };
 use runtime::EventKind;
 use smallvec::SmallVec;
@@ -93,7 +93,7 @@
 
 impl ServerPermit {
     /// Releases the permit with the outcome of the attempt and the load that the server reported.
-    pub(crate) fn finish(mut self, outcome: AttemptOutcome, load: &StatedLoad) {
+    pub(crate) fn finish(mut self, outcome: AttemptOutcome, load: &ServerReport) {
         self.is_finished = true;
         self.pool.clone().release(&self.server, outcome, load);
     }
@@ -106,7 +106,7 @@
             let is_late =
                 self.pool.late_limit().is_some_and(|limit| self.acquired.elapsed() > limit);
             let outcome = if is_late { AttemptOutcome::Late } else { AttemptOutcome::Cancelled };
-            self.pool.clone().release(&self.server, outcome, &StatedLoad::default());
+            self.pool.clone().release(&self.server, outcome, &ServerReport::default());
         }
     }
 }
@@ -161,8 +161,8 @@
         state.load.set_cold_concurrency(spec.cold_concurrency);
         state.retries.set_percent(spec.retry_percent);
         state.hedges.set_percent(spec.hedge_percent);
-        state.retries.note_request();
-        state.hedges.note_request();
+        state.retries.record_request();
+        state.hedges.record_request();
     }
 
     /// Takes one retry from the budget. Returns whether there was one.
@@ -230,7 +230,7 @@
         let now = Instant::now();
         let mut state = self.state.lock();
         let is_recent = |at: Instant| now.saturating_duration_since(at) < WARM_UP_INTERVAL;
-        if state.last_own_warm_up.is_some_and(is_recent) || !state.load.has_own_cold(now) {
+        if state.last_own_warm_up.is_some_and(is_recent) || !state.load.has_cold_capacity(now) {
             return false;
         }
         state.last_own_warm_up = Some(now);
@@ -239,7 +239,7 @@
 
     /// Returns whether a server has answered a request of this entry recently.
     pub(crate) fn has_answered_recently(&self, server: &ServerName, now: Instant) -> bool {
-        self.state.lock().load.has_answered_lately(server, now)
+        self.state.lock().load.has_recent_answer(server, now)
     }
 
     /// Returns the owners of cold servers if this entry may not use any server, and `None`
@@ -329,11 +329,16 @@
     }
 
     /// Records the end of an attempt and assigns the free capacity to waiting requests.
-    fn release(self: Arc<Self>, server: &PickedServer, outcome: AttemptOutcome, load: &StatedLoad) {
+    fn release(
+        self: Arc<Self>,
+        server: &PickedServer,
+        outcome: AttemptOutcome,
+        load: &ServerReport,
+    ) {
         let notes = {
             let mut state = self.state.lock();
             if let AttemptOutcome::Success(latency) = outcome {
-                state.latency.note(latency);
+                state.latency.record(latency);
             }
             state.load.release(server, outcome, load, Instant::now())
         };
@@ -342,7 +347,7 @@
     }
 
     /// Reports the conclusions from an attempt to the observer and the event timeline.
-    fn report(&self, server: &PickedServer, notes: &ReleaseNotes) {
+    fn report(&self, server: &PickedServer, notes: &ReleaseOutcome) {
         let Some(observer) = self.observer.upgrade() else {
             return;
         };
@@ -387,7 +392,7 @@
             if let Err(mut unused) = request.sender.send(permit) {
                 unused.is_finished = true;
                 let mut state = self.state.lock();
-                let load = StatedLoad::default();
+                let load = ServerReport::default();
                 let now = Instant::now();
                 state.load.release(&unused.server, AttemptOutcome::Cancelled, &load, now);
             }
--- a/crates/gateway/src/final_answer.rs
+++ b/crates/gateway/src/final_answer.rs
@@ -4,7 +4,7 @@
     GatewayAnswer, WireDialect, attempt::AttemptOutcome, call::ForwardedCall, placer::PlaceError,
 };
 use http::StatusCode;
-use policy::{RoomOutlook, plan_return};
+use policy::{CapacityForecast, retry_delay};
 use std::time::Duration;
 
 /// Builds the caller's response from the result of the attempts. Also returns the name of the
@@ -19,8 +19,8 @@
         let attempt_log = call.attempt_log.lock();
         (attempt_log.may_have_run, attempt_log.had_free_slot)
     };
-    let until_slot = RoomOutlook::After(usual_work);
-    let wait = |outlook| plan_return(outlook, rand::random());
+    let until_slot = CapacityForecast::After(usual_work);
+    let wait = |outlook| retry_delay(outlook, rand::random());
     match result {
         Ok(AttemptOutcome::Answered(answer)) => {
             (replace_refusal_status(answer, dialect), "answered")
@@ -29,7 +29,7 @@
             (replace_refusal_status(answer, dialect), "server-failed")
         }
         Ok(AttemptOutcome::NotRun(reason)) if !may_have_run => {
-            let outlook = if had_free_slot { RoomOutlook::Now } else { until_slot };
+            let outlook = if had_free_slot { CapacityForecast::Now } else { until_slot };
             (GatewayAnswer::refused(&format!("not run: {reason}"), wait(outlook)), "not-run")
         }
         Ok(AttemptOutcome::NotRun(reason) | AttemptOutcome::Unknown(reason)) => {
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -15,8 +15,8 @@
 use http::{StatusCode, Uri, header};
 use parking_lot::{Mutex, RwLock};
 use policy::{
-    BudgetTerms, CallerPatience, FirstRoutesTerms, RoomOutlook, SharedBudget, UsualWork,
-    plan_return,
+    BudgetLimits, CallerTimeouts, CapacityForecast, ServiceTime, SharedBudget, StartupWait,
+    retry_delay,
 };
 use runtime::{DecisionCounters, Histogram, Logger};
 use slog::info;
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub(crate) struct ServiceState {
     budget: SharedBudget,
-    pub(crate) usual_work: Option<UsualWork>,
+    pub(crate) usual_work: Option<ServiceTime>,
     pub(crate) queue: Arc<ServiceQueue>,
 }
 
@@ -65,21 +65,21 @@
     pub(crate) memory: Arc<BodyMemory>,
     pub(crate) view: Arc<RwLock<Arc<ClusterView>>>,
     pub(crate) routes: watch::Sender<Option<Arc<InstalledRoutes>>>,
-    pub(crate) first_routes: FirstRoutesTerms,
+    pub(crate) first_routes: StartupWait,
     pub(crate) started: Instant,
-    pub(crate) budget: BudgetTerms,
+    pub(crate) budget: BudgetLimits,
     pub(crate) metrics: ForwardMetrics,
     pub(crate) logger: Logger,
     services: Mutex<HashMap<ServiceName, ServiceState>>,
-    caller_timeouts: Mutex<HashMap<Arc<str>, CallerPatience>>,
+    caller_timeouts: Mutex<HashMap<Arc<str>, CallerTimeouts>>,
 }
 
 impl RequestForwarder {
     pub(crate) fn new(
         placer: ServerPlacer,
         view: Arc<RwLock<Arc<ClusterView>>>,
-        budget: BudgetTerms,
-        first_routes: FirstRoutesTerms,
+        budget: BudgetLimits,
+        first_routes: StartupWait,
         metrics: ForwardMetrics,
         logger: Logger,
     ) -> Arc<Self> {
@@ -159,7 +159,7 @@
         let attempt_log = Mutex::default();
         let call = ForwardedCall { route, pool, request, arrived, waited, view, attempt_log };
         self.with_service(&call.pool.service, |state| {
-            state.budget.note_request(arrived, &self.budget);
+            state.budget.record_request(arrived, &self.budget);
         });
         if is_idempotent {
             let _reservation = reservation;
@@ -338,8 +338,8 @@
     /// the server.
     fn record_work(&self, call: &ForwardedCall, observed: Duration) {
         self.with_service(&call.pool.service, |state| {
-            let usual = UsualWork::new(initial_work_estimate(&call.route));
-            state.usual_work.get_or_insert(usual).note(observed);
+            let usual = ServiceTime::new(initial_work_estimate(&call.route));
+            state.usual_work.get_or_insert(usual).record(observed);
         });
     }
 
@@ -372,7 +372,7 @@
         if routes.len() > MAX_TIMEOUT_ROUTES {
             routes.clear();
         }
-        routes.entry(route.name.clone()).or_default().note(now, stated)
+        routes.entry(route.name.clone()).or_default().record(now, stated)
     }
 
     /// Calls `update` with the state of a service, which is created if needed.
@@ -391,7 +391,7 @@
 
 /// Returns the retry time for a request that was refused because the entry has no routes yet.
 fn no_routes_retry_after() -> Duration {
-    plan_return(RoomOutlook::After(NO_ROUTES_WAIT), rand::random())
+    retry_delay(CapacityForecast::After(NO_ROUTES_WAIT), rand::random())
 }
 
 /// Returns the initial estimate of a route's work time, which holds until a request has finished.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -11,7 +11,7 @@
 };
 use follow::{LeaderClient, RefresherContext, ViewRefresher, ViewStore};
 use parking_lot::RwLock;
-use policy::{BudgetTerms, FirstRoutesTerms, FreshnessGate};
+use policy::{BudgetLimits, FreshnessGate, StartupWait};
 use runtime::{EventKind, EventTags, EventTimeline, Logger, MetricsRegistry, TimerService};
 use slog::info;
 use std::{
@@ -36,9 +36,9 @@
     /// The entry as it registers with the replicas.
     pub info: EntryInfo,
     /// The retry budget that all entries share.
-    pub budget: BudgetTerms,
+    pub budget: BudgetLimits,
     /// How long requests wait for the first routes after a start.
-    pub first_routes: FirstRoutesTerms,
+    pub first_routes: StartupWait,
     /// Maximum number of bytes of all bodies that the entry buffers.
     pub body_memory_bytes: u64,
     /// How long a stopping entry still accepts connections, for callers that have not learned of
--- a/crates/gateway/src/server_search.rs
+++ b/crates/gateway/src/server_search.rs
@@ -6,7 +6,7 @@
     placer::{PlaceError, PlaceRequest, ProbedServer},
     service_queue::QueuePosition,
 };
-use policy::{PlacementNeed, RoomNeed};
+use policy::{CapacityNeed, PlacementNeed};
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout_at};
 
@@ -113,7 +113,11 @@
     fn placement_need(&self, call: &ForwardedCall, is_late: bool) -> PlacementNeed {
         let (usual_work, target) = (self.usual_work(call), call.route.target());
         if is_late {
-            return PlacementNeed { usual_work, target, room: RoomNeed::SpareSlot };
+            return PlacementNeed {
+                service_time: usual_work,
+                target,
+                capacity: CapacityNeed::SpareSlot,
+            };
         }
         let left = call.target_deadline().saturating_duration_since(Instant::now());
         PlacementNeed::within(usual_work, target, left)
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -139,7 +139,7 @@
 
     /// Returns whether this entry's share of the cold server's rate permits a request now.
     pub(crate) fn has_cold_capacity(&self, now: Instant) -> bool {
-        self.state.lock().cold.has_room(now)
+        self.state.lock().cold.has_capacity(now)
     }
 
     /// Takes one request from this entry's share of the cold server's rate, in requests per 1000 s.
--- a/crates/gateway/src/service_queue.rs
+++ b/crates/gateway/src/service_queue.rs
@@ -1,14 +1,14 @@
 //! The queue of requests of one service that wait for a server with free capacity.
 
 use parking_lot::Mutex;
-use policy::{WaitRank, WaitTicket, WaitingLine};
+use policy::{WaitQueue, WaitRank, WaitTicket};
 use std::sync::Arc;
 use tokio::sync::Notify;
 
 /// The wait queue of one service, ordered by rank.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceQueue {
-    requests: Mutex<WaitingLine<Arc<Notify>>>,
+    requests: Mutex<WaitQueue<Arc<Notify>>>,
 }
 
 /// A position in the queue. Dropping it leaves the queue and wakes the request that is then first.
@@ -21,7 +21,7 @@
 impl ServiceQueue {
     /// Returns whether a request of this rank would be first in the queue.
     pub(crate) fn would_lead(&self, rank: &WaitRank) -> bool {
-        self.requests.lock().would_lead(rank)
+        self.requests.lock().would_be_first(rank)
     }
 
     /// Returns the number of waiting requests.
@@ -32,7 +32,7 @@
     /// Adds a request to the queue.
     pub(crate) fn join(self: &Arc<Self>, rank: WaitRank) -> QueuePosition {
         let wakeup = Arc::new(Notify::new());
-        let ticket = self.requests.lock().join(rank, wakeup.clone());
+        let ticket = self.requests.lock().push(rank, wakeup.clone());
         QueuePosition { queue: self.clone(), ticket, wakeup }
     }
 }
@@ -49,7 +49,7 @@
 impl Drop for QueuePosition {
     fn drop(&mut self) {
         let mut requests = self.queue.requests.lock();
-        requests.leave(self.ticket);
+        requests.remove(self.ticket);
         if let Some(next) = requests.first() {
             next.notify_one();
         }
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -4,7 +4,7 @@
 
 use harness::{Script, ScriptedServer, TestGateway, announcement, routing};
 use http::StatusCode;
-use policy::FirstRoutesTerms;
+use policy::StartupWait;
 use std::sync::atomic::Ordering;
 use std::{
     sync::Arc,
@@ -256,7 +256,7 @@
 async fn request_before_the_first_view_waits_for_the_view() {
     let server = ScriptedServer::start("sound", "a", Script::Answer(200, 0)).await;
     let minute = Duration::from_secs(60);
-    let first_routes = FirstRoutesTerms { expected_within: minute, max_wait: minute };
+    let first_routes = StartupWait { expected_within: minute, max_wait: minute };
     let gateway = TestGateway::start_empty(first_routes).await;
     let publish = async {
         sleep(Duration::from_millis(100)).await;
@@ -269,8 +269,7 @@
 
 #[tokio::test]
 async fn entry_without_a_view_refuses_immediately_with_a_retry_time() {
-    let first_routes =
-        FirstRoutesTerms { expected_within: Duration::ZERO, ..FirstRoutesTerms::default() };
+    let first_routes = StartupWait { expected_within: Duration::ZERO, ..StartupWait::default() };
     let gateway = TestGateway::start_empty(first_routes).await;
     let answer = gateway.send("GET", "/read/x", "r1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -18,7 +18,7 @@
     FreshnessAnswer, FreshnessGrant, PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget,
     ViewTransfer,
 };
-use policy::{BudgetTerms, FirstRoutesTerms, ServerLoad};
+use policy::{BudgetLimits, ServerLoad, StartupWait};
 use runtime::{EventTimeline, LogFormat, MetricsRegistry, TimerService, root_logger};
 use std::{
     net::SocketAddr,
@@ -298,7 +298,7 @@
 impl TestGateway {
     /// Starts an entry in the failure domain `a` and waits until it is ready.
     pub async fn start(document: RoutingDocument, servers: &[&Arc<ScriptedServer>]) -> Self {
-        let gateway = Self::start_empty(FirstRoutesTerms::default()).await;
+        let gateway = Self::start_empty(StartupWait::default()).await;
         gateway.publish(document, servers);
         while !gateway.node.is_ready() {
             sleep(Duration::from_millis(5)).await;
@@ -317,7 +317,7 @@
     }
 
     /// Starts an entry whose replicas have no routes and no servers.
-    pub async fn start_empty(first_routes: FirstRoutesTerms) -> Self {
+    pub async fn start_empty(first_routes: StartupWait) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
         drop(listener);
@@ -338,7 +338,7 @@
         let target = PeerTarget { host: "core-1".parse().expect("name"), address };
         let settings = GatewaySettings {
             info,
-            budget: BudgetTerms { slack: 100, ..BudgetTerms::default() },
+            budget: BudgetLimits { slack: 100, ..BudgetLimits::default() },
             first_routes,
             body_memory_bytes: 64 * 1024 * 1024,
             accept_grace: Duration::from_millis(200),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions: pure functions and small state machines without I/O.
+//! Load-balancing policies: pure functions and small state machines without I/O.
 //!
-//! Time is an argument everywhere, so that tests and measurements run at any speed.
+//! Functions take the current time as an argument, so that tests and benchmarks need no real clock.
 
 mod admission;
-mod caller_patience;
+mod caller_timeouts;
 mod cold_share;
 mod cold_start;
 mod directory;
@@ -16,35 +16,37 @@
 mod probe_budget;
 mod registry;
 mod retry_budget;
-mod return_plan;
+mod retry_delay;
 mod selection;
 mod service_load;
+mod service_time;
 mod shared_budget;
 mod slow;
-mod usual_work;
-mod waiting_line;
+mod wait_queue;
 
 pub use admission::{AdmissionGate, AdmissionSettings, retry_after};
-pub use caller_patience::CallerPatience;
+pub use caller_timeouts::CallerTimeouts;
 pub use cold_share::{COLD_OWNERS, ColdAllowance, owns_cold_server, rendezvous_weight};
 pub use cold_start::ColdRamp;
-pub use directory::{BEAT_LIMIT, DirectoryServer, ServerDirectory};
+pub use directory::{DirectoryServer, HEARTBEAT_TIMEOUT, ServerDirectory};
 pub use entry_ranking::rank_entries;
-pub use first_routes::FirstRoutesTerms;
+pub use first_routes::StartupWait;
 pub use freshness::FreshnessGate;
 pub use health::{AttemptOutcome, ServerHealth};
 pub use latency::LatencyTracker;
-pub use placement::{PlacementCandidate, PlacementNeed, RoomNeed, ServerLoad, cheapest_candidate};
+pub use placement::{
+    CapacityNeed, PlacementCandidate, PlacementNeed, ServerLoad, cheapest_candidate,
+};
 pub use probe_budget::ProbeBudget;
 pub use registry::{ANNOUNCEMENT_LEASE, AnnounceOutcome, ServerRegistry};
 pub use retry_budget::RetryBudget;
-pub use return_plan::{RoomOutlook, plan_return};
+pub use retry_delay::{CapacityForecast, retry_delay};
 pub use selection::{CandidateLoad, LatencySelector, ServerSelector};
 pub use service_load::{
-    LoadSettings, PickResult, PickedServer, ReleaseNotes, ServerView, ServiceLoad, StatedLoad,
+    LoadSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView, ServiceLoad,
     expected_wait,
 };
-pub use shared_budget::{BudgetTerms, SharedBudget};
-pub use slow::MedianBound;
-pub use usual_work::UsualWork;
-pub use waiting_line::{WaitRank, WaitTicket, WaitingLine};
+pub use service_time::ServiceTime;
+pub use shared_budget::{BudgetLimits, SharedBudget};
+pub use slow::MedianTest;
+pub use wait_queue::{WaitQueue, WaitRank, WaitTicket};
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,18 +1,18 @@
-//! Placing under load: which server, who waits, who is refused, when to come back. Each test names
-//! the pattern that it answers.
+//! Placement under load: choice of server, order of waiting requests, refusals and backoff. Each test
+//! names the load pattern or fault that it covers.
 
 use hawthornhill_policy::{
-    BudgetTerms, COLD_OWNERS, CallerPatience, ColdAllowance, PlacementCandidate, PlacementNeed,
-    RoomNeed, RoomOutlook, ServerLoad, SharedBudget, UsualWork, WaitRank, WaitingLine,
-    cheapest_candidate, owns_cold_server, plan_return,
+    BudgetLimits, COLD_OWNERS, CallerTimeouts, CapacityForecast, CapacityNeed, ColdAllowance,
+    PlacementCandidate, PlacementNeed, ServerLoad, ServiceTime, SharedBudget, WaitQueue, WaitRank,
+    cheapest_candidate, owns_cold_server, retry_delay,
 };
 use std::time::{Duration, Instant};
 use types::EntryName;
 
 const NEED: PlacementNeed = PlacementNeed {
-    usual_work: Duration::from_millis(120),
+    service_time: Duration::from_millis(120),
     target: Duration::from_millis(300),
-    room: RoomNeed::Within(Duration::from_millis(300)),
+    capacity: CapacityNeed::Within(Duration::from_millis(300)),
 };
 
 fn load(running: u32, waiting: u32, slowness_percent: u32) -> ServerLoad {
@@ -20,7 +20,13 @@
 }
 
 fn local(load: ServerLoad) -> PlacementCandidate {
-    PlacementCandidate { load, is_local: true, is_cold: false, is_ill: false, failure_share: 0.0 }
+    PlacementCandidate {
+        load,
+        is_local: true,
+        is_cold: false,
+        is_unhealthy: false,
+        failure_share: 0.0,
+    }
 }
 
 fn remote(load: ServerLoad) -> PlacementCandidate {
@@ -28,45 +34,46 @@
 }
 
 #[test]
-fn noisy_neighbour_makes_a_server_lose_to_a_remote_one_that_is_usual() {
+fn server_with_a_noisy_neighbour_loses_to_a_remote_one_at_usual_speed() {
     let candidates = [local(load(0, 0, 400)), remote(load(1, 0, 100))];
     assert!(!candidates[0].is_good_enough(&NEED));
     assert_eq!(cheapest_candidate(&candidates, &NEED), Some(1));
 }
 
 #[test]
-fn equal_servers_are_chosen_in_the_own_domain() {
+fn local_server_is_preferred_over_a_similar_remote_one() {
     let candidates = [remote(load(0, 0, 100)), local(load(1, 0, 100))];
     assert_eq!(cheapest_candidate(&candidates, &NEED), Some(1));
     assert!(candidates[1].is_good_enough(&NEED));
 }
 
 #[test]
-fn one_slow_server_is_left_to_requests_that_have_missed_their_target() {
+fn slow_server_gets_only_requests_that_have_missed_their_target() {
     let candidates = [local(load(3, 3, 100)), local(load(0, 0, 400)), remote(load(3, 4, 100))];
     assert_eq!(cheapest_candidate(&candidates, &NEED), None);
-    let late = PlacementNeed { room: RoomNeed::SpareSlot, ..NEED };
+    let late = PlacementNeed { capacity: CapacityNeed::SpareSlot, ..NEED };
     assert_eq!(cheapest_candidate(&candidates, &late), Some(1));
 }
 
 #[test]
-fn burst_that_fills_all_servers_gets_none() {
+fn burst_that_fills_all_servers_is_not_placed() {
     let candidates = [local(load(3, 3, 100)), remote(load(3, 6, 100))];
     assert_eq!(cheapest_candidate(&candidates, &NEED), None);
 }
 
 #[test]
-fn burst_does_not_queue_at_servers_beyond_the_target() {
-    // From the queue the answer would take 120 ms * 1.7 * 4/3 = 272 ms, or with two ahead 340 ms.
+fn burst_does_not_queue_at_a_server_beyond_the_target() {
+    // Expected completion: 120 ms * 1.7 * 4/3 = 272 ms with an empty queue, 340 ms behind one waiting
+    // request.
     assert_eq!(cheapest_candidate(&[local(load(3, 0, 100))], &NEED), Some(0));
     assert_eq!(cheapest_candidate(&[local(load(3, 1, 100))], &NEED), None);
-    let half_used = PlacementNeed::within(NEED.usual_work, NEED.target, NEED.target / 2);
+    let half_used = PlacementNeed::within(NEED.service_time, NEED.target, NEED.target / 2);
     assert_eq!(cheapest_candidate(&[local(load(3, 0, 100))], &half_used), None);
     assert_eq!(cheapest_candidate(&[local(load(0, 0, 100))], &half_used), Some(0));
 }
 
 #[test]
-fn work_that_never_meets_its_target_is_placed_all_the_same() {
+fn work_longer_than_its_target_is_still_placed() {
     let work = Duration::from_millis(500);
     let need = PlacementNeed::within(work, NEED.target, NEED.target);
     assert_eq!(cheapest_candidate(&[local(load(2, 0, 100))], &need), Some(0));
@@ -80,16 +87,16 @@
 }
 
 #[test]
-fn ill_server_is_used_when_nothing_else_is_left() {
-    let ill = PlacementCandidate { is_ill: true, ..local(load(0, 0, 100)) };
-    assert!(!ill.is_good_enough(&NEED));
-    assert_eq!(cheapest_candidate(&[ill, local(load(0, 0, 100))], &NEED), Some(1));
-    assert_eq!(cheapest_candidate(&[ill], &NEED), Some(0));
+fn server_with_a_bad_health_report_is_used_as_a_last_resort() {
+    let unhealthy = PlacementCandidate { is_unhealthy: true, ..local(load(0, 0, 100)) };
+    assert!(!unhealthy.is_good_enough(&NEED));
+    assert_eq!(cheapest_candidate(&[unhealthy, local(load(0, 0, 100))], &NEED), Some(1));
+    assert_eq!(cheapest_candidate(&[unhealthy], &NEED), Some(0));
 }
 
 #[test]
-fn recovery_flood_leaves_a_slot_for_requests_that_can_still_meet_their_target() {
-    let late = PlacementNeed { room: RoomNeed::SpareSlot, ..NEED };
+fn late_requests_after_an_outage_leave_a_slot_for_those_within_their_target() {
+    let late = PlacementNeed { capacity: CapacityNeed::SpareSlot, ..NEED };
     assert_eq!(cheapest_candidate(&[local(load(1, 0, 100))], &late), Some(0));
     assert_eq!(cheapest_candidate(&[local(load(2, 0, 100))], &late), None);
     assert_eq!(cheapest_candidate(&[local(load(2, 0, 100))], &NEED), Some(0));
@@ -98,44 +105,44 @@
 }
 
 #[test]
-fn recovery_flood_is_served_freshest_first() {
+fn backlog_after_an_outage_serves_late_requests_last() {
     let now = Instant::now();
     let rank = |is_late, priority, ms| WaitRank {
         is_late,
         priority,
         arrived: now + Duration::from_millis(ms),
     };
-    let mut line = WaitingLine::default();
-    let late = line.join(rank(true, 1, 0), "late");
-    let second = line.join(rank(false, 2, 5), "second");
-    let first = line.join(rank(false, 2, 3), "first");
-    let urgent = line.join(rank(false, 1, 9), "urgent");
+    let mut queue = WaitQueue::default();
+    let late = queue.push(rank(true, 1, 0), "late");
+    let second = queue.push(rank(false, 2, 5), "second");
+    let first = queue.push(rank(false, 2, 3), "first");
+    let urgent = queue.push(rank(false, 1, 9), "urgent");
     for (ticket, name) in [(urgent, "urgent"), (first, "first"), (second, "second"), (late, "late")]
     {
-        assert!(line.is_first(ticket), "{name}");
-        assert_eq!(line.first(), Some(&name));
-        assert_eq!(line.leave(ticket), Some(name));
+        assert!(queue.is_first(ticket), "{name}");
+        assert_eq!(queue.first(), Some(&name));
+        assert_eq!(queue.remove(ticket), Some(name));
     }
-    assert!(line.is_empty());
-    assert_eq!(line.leave(late), None);
+    assert!(queue.is_empty());
+    assert_eq!(queue.remove(late), None);
 }
 
 #[test]
-fn retrying_caller_is_recognised_by_the_wait_that_it_has_left() {
+fn retrying_caller_is_recognized_by_its_shorter_timeout() {
     let now = Instant::now();
-    let mut patience = CallerPatience::default();
-    assert_eq!(patience.note(now, Duration::from_millis(2_500)), Duration::ZERO);
+    let mut timeouts = CallerTimeouts::default();
+    assert_eq!(timeouts.record(now, Duration::from_millis(2_500)), Duration::ZERO);
     let left = Duration::from_millis(1_900);
-    assert_eq!(patience.note(now, left), Duration::from_millis(400));
-    // Callers that start with a little less patience have not waited before.
-    assert_eq!(patience.note(now, Duration::from_millis(2_100)), Duration::ZERO);
-    // A wait that is stated no longer is forgotten.
-    assert_eq!(patience.note(now + Duration::from_secs(61), left), Duration::ZERO);
+    assert_eq!(timeouts.record(now, left), Duration::from_millis(400));
+    // A slightly shorter timeout is within the spread of initial timeouts: a first attempt.
+    assert_eq!(timeouts.record(now, Duration::from_millis(2_100)), Duration::ZERO);
+    // The longest timeout expires when it is no longer stated.
+    assert_eq!(timeouts.record(now + Duration::from_secs(61), left), Duration::ZERO);
 }
 
 #[test]
 fn retry_storm_stays_within_the_budget_of_all_entries() {
-    let terms = BudgetTerms { ratio: 0.2, slack: 62, window: Duration::from_secs(10) };
+    let limits = BudgetLimits { ratio: 0.2, slack: 62, window: Duration::from_secs(10) };
     let start = Instant::now();
     let (entries, requests_a_second) = (18, 6);
     let mut budget = SharedBudget::default();
@@ -143,15 +150,15 @@
     for millis in 0..60_000_u64 {
         let now = start + Duration::from_millis(millis);
         if millis % (1_000 / requests_a_second) == 0 {
-            budget.note_request(now, &terms);
+            budget.record_request(now, &limits);
         }
-        // Every request would be repeated ten times.
-        if millis % 16 == 0 && budget.take(now, &terms, entries) {
+        // Retries each request about ten times: 62.5 a second against 6 requests a second.
+        if millis % 16 == 0 && budget.take(now, &limits, entries) {
             granted.push(now);
         }
     }
     for (index, first) in granted.iter().enumerate() {
-        let within = granted[index..].iter().filter(|time| **time - *first <= terms.window);
+        let within = granted[index..].iter().filter(|time| **time - *first <= limits.window);
         let allowed = 0.2 * 60.0 + 62.0 / entries as f64;
         assert!(within.count() as f64 <= allowed);
     }
@@ -159,7 +166,7 @@
 }
 
 #[test]
-fn zone_returning_cold_is_owned_by_few_entries_and_kept_to_its_rate() {
+fn cold_servers_of_a_restarted_zone_have_few_owners_and_keep_their_rate() {
     let entries: Vec<EntryName> =
         (0..18).map(|n| format!("entry-{n}").parse().expect("a name")).collect();
     let start = Instant::now();
@@ -179,48 +186,50 @@
             }
         }
         for first in &sent {
-            let second =
+            let within_a_second =
                 sent.iter().filter(|t| *t >= first && **t - *first < Duration::from_secs(1));
-            // Stated bound: rate * 1.5 + 5 in any second.
-            assert!(second.count() <= 12);
+            // Required bound: rate * 1.5 + 5 in any second.
+            assert!(within_a_second.count() <= 12);
         }
         assert!(sent.len() >= 10, "the rate is used: {}", sent.len());
     }
 }
 
 #[test]
-fn callers_refused_together_do_not_return_together() {
-    let until_room = Duration::from_millis(120);
-    assert_eq!(plan_return(RoomOutlook::After(until_room), 0.0), until_room);
-    assert_eq!(plan_return(RoomOutlook::After(until_room), 1.0), 2 * until_room);
-    assert!(plan_return(RoomOutlook::After(Duration::ZERO), 0.0) > Duration::ZERO);
+fn callers_refused_together_do_not_retry_together() {
+    let until_capacity = Duration::from_millis(120);
+    assert_eq!(retry_delay(CapacityForecast::After(until_capacity), 0.0), until_capacity);
+    assert_eq!(retry_delay(CapacityForecast::After(until_capacity), 1.0), 2 * until_capacity);
+    assert!(retry_delay(CapacityForecast::After(Duration::ZERO), 0.0) > Duration::ZERO);
     assert!(
-        plan_return(RoomOutlook::After(Duration::from_secs(60)), 1.0) <= Duration::from_secs(2)
+        retry_delay(CapacityForecast::After(Duration::from_secs(60)), 1.0)
+            <= Duration::from_secs(2)
     );
 }
 
-/// An entry that sees one request a second must not take a slow spell for the usual time.
+/// An entry with one request a second must not mistake a short series of slow answers for the usual
+/// service time.
 #[test]
-fn noisy_neighbour_does_not_move_the_usual_time_of_work() {
-    let mut usual = UsualWork::new(Duration::from_millis(120));
+fn noisy_neighbour_does_not_move_the_usual_service_time() {
+    let mut usual = ServiceTime::new(Duration::from_millis(120));
     for round in 0..200_u32 {
         // One answer in four takes four times as long.
         let millis = if round % 4 == 0 { 480 } else { 100 + u64::from(round % 7) * 5 };
-        usual.note(Duration::from_millis(millis));
+        usual.record(Duration::from_millis(millis));
         let estimate = usual.get().as_millis();
         assert!((95..=150).contains(&estimate), "{estimate} ms after {round}");
     }
     // A lasting change is followed.
-    (0..60).for_each(|_| usual.note(Duration::from_millis(300)));
+    (0..60).for_each(|_| usual.record(Duration::from_millis(300)));
     assert_eq!(usual.get(), Duration::from_millis(300));
 }
 
-/// Servers that shed a share of what they get at random, with free slots: a caller that comes back at
-/// once finds room within its target; one that waits for a slot to become free is late.
+/// Guards against servers that shed some requests at random while they have free slots: a caller that
+/// retries immediately still meets its target; one that waits for a slot to become free is late.
 #[test]
-fn caller_shed_by_a_server_with_room_comes_back_at_once() {
+fn caller_shed_by_a_server_with_free_slots_retries_immediately() {
     for draw in [0.0, 0.5, 1.0] {
-        let wait = plan_return(RoomOutlook::Now, draw);
+        let wait = retry_delay(CapacityForecast::Now, draw);
         assert!(wait > Duration::ZERO && wait <= Duration::from_millis(100), "{wait:?}");
     }
 }
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -10,8 +10,8 @@
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
 use policy::{
-    AttemptOutcome, LatencySelector, LoadSettings, PickResult, ServerSelector, ServerView,
-    ServiceLoad, StatedLoad,
+    AttemptOutcome, LatencySelector, LoadSettings, PickResult, ServerReport, ServerSelector,
+    ServerView, ServiceLoad,
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use std::{
@@ -54,7 +54,7 @@
     fn new(selector: Arc<dyn ServerSelector>, servers: &[FakeServer], seed: u64) -> Self {
         let mut load = ServiceLoad::new(LoadSettings {
             cold_concurrency: 1,
-            max_paused_percent: 50,
+            max_ejected_percent: 50,
             selector,
         });
         load.update(servers.iter().map(server_view).collect());
@@ -83,11 +83,11 @@
         let (outcome, stated) = match &answer {
             Ok(answer) if answer.status == 200 => {
                 let load = answer.header(header::LOAD).parse().ok();
-                let stated = StatedLoad { load, ..StatedLoad::default() };
+                let stated = ServerReport { load, ..ServerReport::default() };
                 (AttemptOutcome::Success(started.elapsed()), stated)
             }
-            Ok(answer) if answer.status == 503 => (AttemptOutcome::Shed, StatedLoad::default()),
-            _ => (AttemptOutcome::ServerError, StatedLoad::default()),
+            Ok(answer) if answer.status == 503 => (AttemptOutcome::Shed, ServerReport::default()),
+            _ => (AttemptOutcome::ServerError, ServerReport::default()),
         };
         let (load, queue, _) = &mut *self.load.lock();
         load.release(&server, outcome, &stated, Instant::now());
