--- a/crates/server/src/announce.rs
+++ b/crates/server/src/announce.rs
@@ -1,4 +1,4 @@
-//! HTTP intake of announcements: `POST /v1/servers` with a JSON announcement.
+//! HTTP endpoint for announcements: `POST /v1/servers` with a JSON [`Announcement`].
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -13,42 +13,46 @@
 use tokio::net::TcpListener;
 use types::Announcement;
 
-/// The greatest announcement in bytes.
+/// Maximum size of an announcement in bytes.
 const MAX_ANNOUNCEMENT_BYTES: usize = 4 * 1024;
-/// Time allowed for the head of a request.
+/// Time allowed for the head of a request to arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay after a failed `accept`, so that persistent errors do not cause a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The answer to an announcement.
+/// The answer to an accepted announcement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnounceAnswer {
-    /// Where to announce from now on.
+    /// Address to send further announcements to.
     pub owner: SocketAddr,
-    /// Where else to announce if the owner does not answer.
+    /// Addresses of other entries, to use if the owner does not answer.
     pub others: Vec<SocketAddr>,
-    /// Period of announcements in milliseconds.
+    /// Period between announcements in milliseconds.
     pub period_ms: u64,
 }
 
-/// Says why an announcement was not taken.
+/// The reason why an announcement was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum AnnounceRefusal {
-    /// It is not valid.
+    /// The announcement is not valid. Contains the reason.
     #[error("{0}")]
     Invalid(String),
-    /// No owner can be reached now; try again.
+    /// The owner of the server is unknown or cannot be reached, or did not register the
+    /// announcement; the server can retry. Contains the reason.
     #[error("{0}")]
     Unavailable(String),
 }
 
-/// Takes announcements.
+/// Processes announcements.
 #[async_trait]
 pub trait AnnounceHandler: Send + Sync {
-    /// Takes one announcement of a server.
+    /// Registers a server's announcement with the entry that owns the server.
     async fn announce(&self, announcement: Announcement)
     -> Result<AnnounceAnswer, AnnounceRefusal>;
 }
 
-/// Serves announcements until the task is dropped.
+/// Accepts connections on `listener`, passes valid announcements to `handler`, and counts the
+/// outcome of each announcement in `counters`. Runs until the future is dropped.
 pub async fn serve_announcements(
     listener: TcpListener,
     handler: Arc<dyn AnnounceHandler>,
@@ -56,16 +60,19 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(50)).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let (handler, counters) = (handler.clone(), counters.clone());
         tokio::spawn(async move {
             let service = service_fn(move |request| {
                 let (handler, counters) = (handler.clone(), counters.clone());
-                async move { Ok::<_, Infallible>(answer(request, &*handler, &counters).await) }
+                async move {
+                    let response = handle_request(request, &*handler, &counters).await;
+                    Ok::<_, Infallible>(response)
+                }
             });
-            // A server whose connection breaks announces again.
+            // Connection errors need no handling: the server repeats its announcement.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEAD_TIMEOUT)
@@ -75,29 +82,33 @@
     }
 }
 
-async fn answer(
+/// Validates a request, passes its announcement to the handler and builds the response.
+async fn handle_request(
     request: Request<Incoming>,
     handler: &dyn AnnounceHandler,
     counters: &DecisionCounters,
 ) -> Response<Full<Bytes>> {
     if request.uri().path() != "/v1/servers" {
-        return text(StatusCode::NOT_FOUND, "no such path; announce at /v1/servers\n");
+        return text_response(StatusCode::NOT_FOUND, "no such path; announce at /v1/servers\n");
     }
     if request.method() != Method::POST {
-        return text(StatusCode::METHOD_NOT_ALLOWED, "announce by POST\n");
+        return text_response(StatusCode::METHOD_NOT_ALLOWED, "announce by POST\n");
     }
     let body = match Limited::new(request.into_body(), MAX_ANNOUNCEMENT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => {
             counters.count("announcement-oversize");
-            return text(StatusCode::PAYLOAD_TOO_LARGE, "announcement: more than 4096 bytes\n");
+            return text_response(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "announcement: more than 4096 bytes\n",
+            );
         }
     };
-    let announcement = match parse(&body) {
+    let announcement = match parse_announcement(&body) {
         Ok(announcement) => announcement,
         Err(reason) => {
             counters.count("announcement-invalid");
-            return text(StatusCode::BAD_REQUEST, &format!("announcement: {reason}\n"));
+            return text_response(StatusCode::BAD_REQUEST, &format!("announcement: {reason}\n"));
         }
     };
     match handler.announce(announcement).await {
@@ -108,23 +119,24 @@
         }
         Err(AnnounceRefusal::Invalid(reason)) => {
             counters.count("announcement-invalid");
-            text(StatusCode::BAD_REQUEST, &format!("announcement: {reason}\n"))
+            text_response(StatusCode::BAD_REQUEST, &format!("announcement: {reason}\n"))
         }
         Err(AnnounceRefusal::Unavailable(reason)) => {
             counters.count("announcement-unavailable");
-            text(StatusCode::SERVICE_UNAVAILABLE, &format!("{reason}\n"))
+            text_response(StatusCode::SERVICE_UNAVAILABLE, &format!("{reason}\n"))
         }
     }
 }
 
-fn parse(body: &[u8]) -> Result<Announcement, String> {
+/// Parses and validates an announcement. The error is the reason for the refusal.
+fn parse_announcement(body: &[u8]) -> Result<Announcement, String> {
     let announcement: Announcement =
         serde_json::from_slice(body).map_err(|error| error.to_string())?;
     announcement.verify().map_err(|error| error.to_string())?;
     Ok(announcement)
 }
 
-fn text(status: StatusCode, body: &str) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, body: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::copy_from_slice(body.as_bytes())));
     *response.status_mut() = status;
     response
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,4 +1,4 @@
-//! The peer "server": sends requests to servers over HTTP/1.1, and takes their announcements.
+//! Communication with servers: sends requests over HTTP/1.1 and receives announcements.
 
 mod announce;
 mod connection;
