--- a/crates/server/src/transport.rs
+++ b/crates/server/src/transport.rs
@@ -1,4 +1,4 @@
-//! The border between the entry and the way requests reach servers.
+//! Interface between the entry and the transport that carries requests to servers.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -6,68 +6,70 @@
 use thiserror::Error;
 use types::{HeaderField, ServerIncarnation};
 
-/// Asked directly before the first byte of a request leaves. `false` keeps it from leaving.
+/// Called directly before the first byte of a request is sent. If it returns `false`, nothing is
+/// sent.
 pub type StartGuard = Arc<dyn Fn() -> bool + Send + Sync>;
 
 /// A request to a server.
 #[derive(Debug, Clone)]
 pub struct ServerRequest {
-    /// HTTP method.
+    /// The HTTP method.
     pub method: http::Method,
-    /// Path and query.
+    /// Path and query of the request target.
     pub path: http::uri::PathAndQuery,
-    /// Header fields.
+    /// Header fields, including those that the entry adds.
     pub headers: http::HeaderMap,
-    /// Body, complete.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// A server's answer, complete.
+/// A server's complete answer.
 #[derive(Debug, Clone)]
 pub struct ServerAnswer {
     /// HTTP status code.
     pub status: u16,
-    /// Header fields to pass on.
+    /// Header fields to pass on to the caller.
     pub headers: Vec<HeaderField>,
-    /// Body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// The incarnation that the server states.
+    /// Incarnation reported by the server, if any.
     pub incarnation: Option<ServerIncarnation>,
-    /// The requests in flight that the server states.
+    /// Number of requests in flight reported by the server, if any.
     pub load: Option<u32>,
-    /// The server states that it is leaving.
+    /// Whether the server reported that it is leaving.
     pub is_leaving: bool,
-    /// The server states that it did not run the request.
+    /// Whether the server reported that it did not run the request.
     pub is_not_run: bool,
 }
 
-/// Says why no connection could be had.
+/// The reason why a connection could not be opened.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TransportError {
     /// The server refused the connection.
     #[error("connection refused")]
     Refused,
-    /// The connection could not be opened in time or for another reason.
+    /// The connection timed out or failed with another error. Contains the reason.
     #[error("not connected: {0}")]
     NotConnected(String),
 }
 
-/// Says why a request has no answer.
+/// The reason why a request has no usable answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SendError {
-    /// The guard kept the request from leaving.
-    #[error("the start guard closed")]
+    /// The guard refused the request before its first byte was sent.
+    #[error("not sent: refused by the start guard")]
     Guarded,
-    /// No byte left.
+    /// No byte was sent. Contains the reason.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// At least one byte may have left.
+    /// At least one byte may have been sent, so the server may have run the request. Contains the
+    /// reason.
     #[error("sent, but no answer: {0}")]
     MaybeSent(String),
-    /// No answer by the deadline; at least one byte may have left.
+    /// No answer arrived by the deadline; at least one byte may have been sent.
     #[error("sent, but no answer by the deadline")]
     DeadlinePassed,
-    /// The answer is larger than allowed; the server ran the request.
+    /// The server ran the request, but its answer exceeds the maximum size in bytes.
     #[error("the answer is larger than {0} bytes")]
     TooLarge(usize),
 }
@@ -75,7 +77,8 @@
 /// Opens connections to servers.
 #[async_trait]
 pub trait ServerTransport: Send + Sync {
-    /// Returns a connection that is ready for a request.
+    /// Returns a connection that is ready for a request, or an error if none can be opened before
+    /// the deadline.
     async fn connect(
         &self,
         address: SocketAddr,
@@ -86,11 +89,11 @@
     fn forget(&self, address: SocketAddr);
 }
 
-/// A connection that carries one request at a time.
+/// A connection to a server, used for one request.
 #[async_trait]
 pub trait ServerConnection: Send {
-    /// Sends a request and waits for the whole answer. Dropping the call closes the connection, by
-    /// which the server learns that the request is cancelled.
+    /// Sends a request and waits for the complete answer until the deadline. Dropping the future
+    /// closes the connection, which tells the server that the request is cancelled.
     async fn send(
         self: Box<Self>,
         request: ServerRequest,
