--- a/crates/server/src/connection.rs
+++ b/crates/server/src/connection.rs
@@ -14,11 +14,12 @@
 use tokio::time::timeout_at;
 use types::{HeaderField, ServerIncarnation, header};
 
-/// The greatest answer body in bytes.
+/// Maximum size of an answer's body in bytes.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// Header fields that concern one connection only, or that this system sets itself.
-const HOP_HEADERS: &[&str] = &[
+/// Header fields of an answer that are not passed on: hop-by-hop fields, `content-length`, and
+/// fields that the load balancer interprets or sets itself.
+const EXCLUDED_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -35,7 +36,7 @@
     header::NOT_RUN,
 ];
 
-/// A connection taken from the pool, or opened for this request.
+/// An HTTP/1.1 connection, either reused from the pool or newly opened.
 pub(crate) struct HttpConnection {
     pub(crate) address: SocketAddr,
     pub(crate) sender: SendRequest<Full<Bytes>>,
@@ -44,22 +45,25 @@
 }
 
 impl HttpConnection {
+    /// Sends a request and reads the complete answer.
     async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<ServerAnswer, SendError> {
         let response = match self.sender.try_send_request(request).await {
             Ok(response) => response,
-            Err(mut failure) => {
-                let was_kept = failure.take_message().is_some();
-                return Err(self.failure(was_kept, &failure.into_error()));
+            Err(mut error) => {
+                let was_returned = error.take_message().is_some();
+                return Err(self.send_error(was_returned, &error.into_error()));
             }
         };
         read_answer(response).await
     }
 
-    fn failure(&self, was_kept: bool, error: &hyper::Error) -> SendError {
+    /// Classifies a failed send. `was_returned` says whether the HTTP library returned the request
+    /// unsent.
+    fn send_error(&self, was_returned: bool, error: &hyper::Error) -> SendError {
         match self.gate.stage() {
             SendStage::Refused => SendError::Guarded,
-            SendStage::Waiting => SendError::NotSent(error.to_string()),
-            SendStage::Started if was_kept => SendError::NotSent(error.to_string()),
+            SendStage::NotStarted => SendError::NotSent(error.to_string()),
+            SendStage::Started if was_returned => SendError::NotSent(error.to_string()),
             SendStage::Started => SendError::MaybeSent(error.to_string()),
         }
     }
@@ -73,13 +77,13 @@
         guard: StartGuard,
         deadline: Instant,
     ) -> Result<ServerAnswer, SendError> {
-        self.gate.arm(guard);
+        self.gate.set_guard(guard);
         let request = build_request(self.address, request)
             .map_err(|error| SendError::NotSent(error.to_string()))?;
         let result = timeout_at(deadline.into(), self.exchange(request)).await;
         match result {
             Ok(Ok(answer)) => {
-                // An answer that is whole leaves the connection ready for the next request.
+                // After a complete answer, the connection can be reused.
                 let Self { address, sender, gate, pool } = *self;
                 pool.put(address, sender, gate);
                 Ok(answer)
@@ -87,7 +91,7 @@
             Ok(Err(error)) => Err(error),
             Err(_) => match self.gate.stage() {
                 SendStage::Started => Err(SendError::DeadlinePassed),
-                SendStage::Waiting | SendStage::Refused => {
+                SendStage::NotStarted | SendStage::Refused => {
                     Err(SendError::NotSent("the deadline passed".to_owned()))
                 }
             },
@@ -95,42 +99,44 @@
     }
 }
 
+/// Builds the HTTP request. Sets `Host` to the server's address if the caller did not set it.
 fn build_request(
     address: SocketAddr,
     request: ServerRequest,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
-    let mut built = Request::builder()
+    let mut http_request = Request::builder()
         .method(request.method)
         .uri(http::Uri::from(request.path))
         .body(Full::new(request.body))?;
-    *built.headers_mut() = request.headers;
-    if !built.headers().contains_key(http::header::HOST) {
+    *http_request.headers_mut() = request.headers;
+    if !http_request.headers().contains_key(http::header::HOST) {
         let host = http::HeaderValue::from_str(&address.to_string())?;
-        built.headers_mut().insert(http::header::HOST, host);
+        http_request.headers_mut().insert(http::header::HOST, host);
     }
-    Ok(built)
+    Ok(http_request)
 }
 
+/// Reads the complete body and the fields that the server reports in headers.
 async fn read_answer(response: Response<Incoming>) -> Result<ServerAnswer, SendError> {
     let (parts, body) = response.into_parts();
-    let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|error| {
+    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|error| {
         if error.is::<LengthLimitError>() {
             SendError::TooLarge(MAX_ANSWER_BYTES)
         } else {
             SendError::MaybeSent(format!("the answer broke off: {error}"))
         }
     })?;
-    let text = |name: &str| parts.headers.get(name).and_then(|value| value.to_str().ok());
-    let headers = HeaderField::all_except(&parts.headers, HOP_HEADERS);
+    let header_text = |name: &str| parts.headers.get(name).and_then(|value| value.to_str().ok());
+    let headers = HeaderField::all_except(&parts.headers, EXCLUDED_HEADERS);
     Ok(ServerAnswer {
         status: parts.status.as_u16(),
         headers,
-        body: collected.to_bytes().to_vec(),
-        incarnation: text(header::INCARNATION)
+        body: body.to_bytes().to_vec(),
+        incarnation: header_text(header::INCARNATION)
             .and_then(|value| value.parse().ok())
             .map(ServerIncarnation),
-        load: text(header::LOAD).and_then(|value| value.parse().ok()),
-        is_leaving: text(header::STATE) == Some("leaving"),
-        is_not_run: text(header::NOT_RUN) == Some("1"),
+        load: header_text(header::LOAD).and_then(|value| value.parse().ok()),
+        is_leaving: header_text(header::STATE) == Some("leaving"),
+        is_not_run: header_text(header::NOT_RUN) == Some("1"),
     })
 }
--- a/crates/server/src/guarded_stream.rs
+++ b/crates/server/src/guarded_stream.rs
@@ -1,7 +1,9 @@
-//! A TCP stream that asks a guard before the first byte of each request leaves.
+//! A TCP stream that calls a guard before it writes the first byte of each request.
 //!
-//! The check stands behind all queues of the HTTP library, so that a process that was frozen
-//! anywhere before acts on a fresh decision. It also knows for certain whether a byte left.
+//! The check runs directly before the write to the socket, after all queues of the HTTP library, so
+//! that a process that was suspended at any earlier point sends only if the guard still allows it.
+//! The gate also records whether a write was started, so that a request that fails earlier is known
+//! not to have been sent.
 
 use crate::StartGuard;
 use hyper_util::rt::TokioIo;
@@ -20,19 +22,20 @@
     net::TcpStream,
 };
 
-/// How far the current request has come.
+/// Progress of the current request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum SendStage {
-    /// No byte has left.
-    Waiting = 0,
-    /// At least one byte may have left.
+    /// No byte has been sent.
+    NotStarted = 0,
+    /// At least one byte may have been sent.
     Started = 1,
-    /// The guard refused.
+    /// The guard refused the request; no byte has been sent.
     Refused = 2,
 }
 
-/// Shared by the stream, which the HTTP library owns, and the connection that uses it.
+/// The guard and progress of the current request, shared by the stream, which the HTTP library
+/// owns, and the connection that uses it.
 #[derive(Default)]
 pub(crate) struct SendGate {
     stage: AtomicU8,
@@ -40,36 +43,38 @@
 }
 
 impl SendGate {
-    /// Sets the guard of the next request.
-    pub(crate) fn arm(&self, guard: StartGuard) {
+    /// Sets the guard of the next request and resets the progress.
+    pub(crate) fn set_guard(&self, guard: StartGuard) {
         *self.guard.lock() = Some(guard);
-        self.stage.store(SendStage::Waiting as u8, Ordering::Release);
+        self.stage.store(SendStage::NotStarted as u8, Ordering::Release);
     }
 
-    /// Returns how far the current request has come.
+    /// Returns the progress of the current request.
     pub(crate) fn stage(&self) -> SendStage {
         match self.stage.load(Ordering::Acquire) {
-            0 => SendStage::Waiting,
+            0 => SendStage::NotStarted,
             1 => SendStage::Started,
             _ => SendStage::Refused,
         }
     }
 
+    /// Returns whether the stream may write. Calls the guard before the first write of a request;
+    /// without a guard, the write is refused.
     fn may_write(&self) -> bool {
         match self.stage() {
             SendStage::Started => true,
             SendStage::Refused => false,
-            SendStage::Waiting => {
-                let is_open = self.guard.lock().as_ref().is_some_and(|guard| guard());
-                let next = if is_open { SendStage::Started } else { SendStage::Refused };
+            SendStage::NotStarted => {
+                let is_allowed = self.guard.lock().as_ref().is_some_and(|guard| guard());
+                let next = if is_allowed { SendStage::Started } else { SendStage::Refused };
                 self.stage.store(next as u8, Ordering::Release);
-                is_open
+                is_allowed
             }
         }
     }
 }
 
-/// The stream that the HTTP library reads and writes.
+/// A TCP stream whose writes fail with `PermissionDenied` if the gate's guard refused the request.
 pub(crate) struct GuardedStream {
     stream: TcpStream,
     gate: Arc<SendGate>,
--- a/crates/server/src/http_transport.rs
+++ b/crates/server/src/http_transport.rs
@@ -1,4 +1,4 @@
-//! Opens connections to servers, or takes them from the idle ones.
+//! Connects to servers over HTTP/1.1 and reuses idle connections.
 
 use crate::{
     ServerConnection, ServerTransport, TransportError,
@@ -18,10 +18,10 @@
 };
 use tokio::{net::TcpStream, time::timeout_at};
 
-/// The longest wait for a connection to open.
+/// Maximum time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Reaches servers over HTTP/1.1.
+/// Sends requests to servers over HTTP/1.1, with a pool of idle connections.
 #[derive(Default)]
 pub struct HttpTransport {
     pool: Arc<IdlePool>,
@@ -40,7 +40,7 @@
             return Ok(Box::new(HttpConnection { address, sender, gate, pool }));
         }
         let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
-        let (sender, gate) = timeout_at(deadline.into(), open(address))
+        let (sender, gate) = timeout_at(deadline.into(), open_connection(address))
             .await
             .map_err(|_| TransportError::NotConnected("timed out".to_owned()))??;
         Ok(Box::new(HttpConnection { address, sender, gate, pool }))
@@ -51,7 +51,8 @@
     }
 }
 
-async fn open(
+/// Opens a connection and starts the task that drives it.
+async fn open_connection(
     address: SocketAddr,
 ) -> Result<(SendRequest<Full<Bytes>>, Arc<SendGate>), TransportError> {
     let stream = TcpStream::connect(address).await.map_err(|error| match error.kind() {
@@ -66,7 +67,7 @@
         .await
         .map_err(|error| not_connected(&error))?;
     tokio::spawn(async move {
-        // The sender reports errors; the task only drives the connection.
+        // The sender reports the connection's errors, so they are not handled here.
         let _ = connection.await;
     });
     Ok((sender, gate))
--- a/crates/server/src/pool.rs
+++ b/crates/server/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to servers, by address.
+//! Pool of idle connections to servers, keyed by address.
 
 use crate::guarded_stream::SendGate;
 use bytes::Bytes;
@@ -12,26 +12,30 @@
     time::{Duration, Instant},
 };
 
-/// Idle connections kept for one server.
-const MAX_IDLE: usize = 32;
-/// Time after which an idle connection is closed, shorter than servers commonly keep theirs.
+/// Maximum number of idle connections per server.
+const MAX_IDLE_PER_SERVER: usize = 32;
+/// Time after which an idle connection is no longer reused; shorter than the common keep-alive
+/// timeout of servers.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
-/// Number of independently locked parts.
+/// Number of shards, each with its own lock.
 const SHARD_COUNT: usize = 16;
 
+/// A connection that is not in use, with the gate of its stream.
 pub(crate) struct IdleConnection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
     pub(crate) gate: Arc<SendGate>,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// Idle connections, in shards under their own locks.
+/// Idle connections, sharded by the port of the server's address.
 #[derive(Default)]
 pub(crate) struct IdlePool {
     shards: [Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>; SHARD_COUNT],
 }
 
 impl IdlePool {
+    /// Returns a connection to the pool. Drops it if it is closed or the pool has enough for the
+    /// server.
     pub(crate) fn put(
         &self,
         address: SocketAddr,
@@ -42,19 +46,21 @@
             return;
         }
         let mut shard = self.shard(address).lock();
-        let idle = shard.entry(address).or_default();
-        if idle.len() < MAX_IDLE {
-            idle.push(IdleConnection { sender, gate, since: Instant::now() });
+        let connections = shard.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push(IdleConnection { sender, gate, idle_since: Instant::now() });
         }
     }
 
+    /// Takes the most recently used connection to `address` that is still usable, and drops those
+    /// that are not.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<IdleConnection> {
         let mut shard = self.shard(address).lock();
-        let idle = shard.get_mut(&address)?;
-        while let Some(connection) = idle.pop() {
+        let connections = shard.get_mut(&address)?;
+        while let Some(connection) = connections.pop() {
             let is_usable = connection.sender.is_ready()
                 && !connection.sender.is_closed()
-                && connection.since.elapsed() < MAX_IDLE_TIME;
+                && connection.idle_since.elapsed() < MAX_IDLE_TIME;
             if is_usable {
                 return Some(connection);
             }
@@ -62,6 +68,7 @@
         None
     }
 
+    /// Drops all idle connections to `address`.
     pub(crate) fn clear(&self, address: SocketAddr) {
         self.shard(address).lock().remove(&address);
     }
