--- a/crates/caller/src/directory.rs
+++ b/crates/caller/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: tells callers which entries to use for a service.
+//! Answers of the directory, which lists the entries that callers should use for a service.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -7,17 +7,17 @@
 /// The answer of `GET /v1/entries/{service}`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryAnswer {
-    /// Entries, best first.
+    /// Entries, in order of preference.
     pub entries: Vec<DirectoryEntry>,
-    /// How long the answer may be kept, in seconds.
+    /// How long callers may cache the answer, in seconds.
     pub max_age_s: u64,
 }
 
-/// One entry.
+/// An entry that accepts requests for the service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryEntry {
-    /// Name.
+    /// The entry's name.
     pub name: EntryName,
-    /// Where to connect.
+    /// Address for callers (HTTP/1.1).
     pub address: SocketAddr,
 }
--- a/crates/caller/src/intake.rs
+++ b/crates/caller/src/intake.rs
@@ -1,5 +1,5 @@
-//! Requests of callers: `/v1/entries/{service}` asks the directory, `/v1/call/{service}/{path}` is
-//! passed on to a server of the service.
+//! HTTP endpoints for callers: `/v1/entries/{service}` queries the directory, and
+//! `/v1/call/{service}/{path}` passes a request on to a server of the service.
 
 use crate::DirectoryAnswer;
 use async_trait::async_trait;
@@ -13,15 +13,18 @@
 use types::{CallAnswer, CallOutcome, CallRequest, HeaderField, ServiceName, header};
 use uuid::Uuid;
 
+/// Path prefix of directory queries, followed by the service.
 const DIRECTORY_PREFIX: &str = "/v1/entries/";
+/// Path prefix of requests to a service, followed by the service and the path at its server.
 const CALL_PREFIX: &str = "/v1/call/";
-/// The longest time that a request may ask for, in milliseconds.
+/// Maximum time that a caller may set for a request, in milliseconds.
 const MAX_DEADLINE_MS: u32 = 120_000;
-/// The greatest number of header fields that are passed on.
+/// Maximum number of header fields in a request.
 const MAX_HEADERS: usize = 64;
 
-/// Header fields that concern one connection only, or that the entry sets itself.
-const HOP_HEADERS: &[&str] = &[
+/// Header fields of a request that are not passed on: hop-by-hop fields, and fields that the entry
+/// interprets or sets itself.
+const EXCLUDED_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-authorization",
@@ -37,27 +40,29 @@
     header::IDEMPOTENCY_KEY,
 ];
 
-/// Answers callers.
+/// Processes the requests of callers.
 #[async_trait]
 pub trait CallHandler: Send + Sync {
-    /// Passes a request on and returns its answer. A deadline of 0 means the service's timeout.
+    /// Passes a request on to a server and returns the answer. A deadline of 0 selects the
+    /// service's timeout.
     async fn call(&self, request: CallRequest) -> CallAnswer;
 
-    /// Returns the entries for a service.
+    /// Returns the entries that callers should use for a service.
     fn directory(&self, service: &ServiceName) -> DirectoryAnswer;
 
-    /// Returns the addresses of other entries.
+    /// Returns the addresses of other entries that a caller can use for a service.
     fn other_entries(&self, service: &ServiceName) -> Vec<SocketAddr>;
 }
 
-/// Limits of the intake.
+/// Limits for the requests and connections of callers.
 #[derive(Debug, Clone)]
 pub struct IntakeSettings {
-    /// The greatest body of a request in bytes.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
     /// Time allowed for a request's body to arrive.
     pub body_timeout: Duration,
-    /// Time allowed for a request's head to arrive, and for an idle connection.
+    /// Time allowed for a request's head to arrive, which also limits how long a connection may be
+    /// idle.
     pub head_timeout: Duration,
 }
 
@@ -71,8 +76,8 @@
     }
 }
 
-/// Answers one request of a caller.
-pub(crate) async fn answer(
+/// Validates a caller's request, passes it to the handler and builds the response.
+pub(crate) async fn handle_request(
     request: Request<Incoming>,
     handler: &dyn CallHandler,
     settings: &IntakeSettings,
@@ -106,6 +111,7 @@
     build_response(answer, id, &service, handler)
 }
 
+/// Answers a directory query.
 fn answer_directory(
     service: &str,
     method: &Method,
@@ -123,50 +129,52 @@
     let directory = handler.directory(&service);
     if directory.entries.is_empty() {
         let mut response = refuse(StatusCode::SERVICE_UNAVAILABLE, "no entry serves yet");
-        insert(response.headers_mut(), "retry-after", "1");
+        insert_header(response.headers_mut(), "retry-after", "1");
         return response;
     }
     let max_age = format!("max-age={}", directory.max_age_s);
     let body = serde_json::to_vec(&directory).unwrap_or_default();
     let mut response = Response::new(Full::new(Bytes::from(body)));
-    insert(response.headers_mut(), "content-type", "application/json");
-    insert(response.headers_mut(), "cache-control", &max_age);
+    insert_header(response.headers_mut(), "content-type", "application/json");
+    insert_header(response.headers_mut(), "cache-control", &max_age);
     response
 }
 
+/// Reads the request's headers and its complete body. The error is the status and reason of the
+/// refusal.
 async fn read_call(
     request: Request<Incoming>,
     service: ServiceName,
     settings: &IntakeSettings,
 ) -> Result<CallRequest, (StatusCode, String)> {
-    let bad = |reason: String| (StatusCode::BAD_REQUEST, reason);
+    let bad_request = |reason: String| (StatusCode::BAD_REQUEST, reason);
     let (parts, body) = request.into_parts();
-    let deadline_ms = read_deadline(&parts.headers).map_err(bad)?;
-    let key = read_key(&parts.headers).map_err(bad)?;
-    let id = read_uuid(&parts.headers, header::REQUEST_ID).map_err(bad)?;
+    let deadline_ms = parse_deadline(&parts.headers).map_err(bad_request)?;
+    let key = parse_idempotency_key(&parts.headers).map_err(bad_request)?;
+    let id = parse_uuid(&parts.headers, header::REQUEST_ID).map_err(bad_request)?;
     if parts.headers.len() > MAX_HEADERS {
-        return Err(bad(format!("headers: more than {MAX_HEADERS}")));
+        return Err(bad_request(format!("headers: more than {MAX_HEADERS}")));
     }
-    let prefix = CALL_PREFIX.len() + service.as_str().len();
+    let prefix_len = CALL_PREFIX.len() + service.as_str().len();
     let target = parts.uri.path_and_query().map_or("", |target| target.as_str());
-    let path = match target.get(prefix..).unwrap_or_default() {
+    let path = match target.get(prefix_len..).unwrap_or_default() {
         "" => "/".to_owned(),
         rest if rest.starts_with('/') => rest.to_owned(),
         rest => format!("/{rest}"),
     };
-    let limited = Limited::new(body, settings.max_body_bytes).collect();
-    let collected = timeout(settings.body_timeout, limited)
+    let body = Limited::new(body, settings.max_body_bytes).collect();
+    let body = timeout(settings.body_timeout, body)
         .await
         .map_err(|_| (StatusCode::REQUEST_TIMEOUT, "body: did not arrive in time".to_owned()))?;
-    let body = collected.map_err(|error| {
+    let body = body.map_err(|error| {
         if error.is::<LengthLimitError>() {
             let reason = format!("body: more than {} bytes", settings.max_body_bytes);
             (StatusCode::PAYLOAD_TOO_LARGE, reason)
         } else {
-            bad(format!("body: {error}"))
+            bad_request(format!("body: {error}"))
         }
     })?;
-    let headers = HeaderField::all_except(&parts.headers, HOP_HEADERS);
+    let headers = HeaderField::all_except(&parts.headers, EXCLUDED_HEADERS);
     Ok(CallRequest {
         id: id.unwrap_or_else(Uuid::now_v7),
         service,
@@ -179,7 +187,8 @@
     })
 }
 
-fn read_deadline(headers: &HeaderMap) -> Result<u32, String> {
+/// Returns the time that the caller allows for the request in milliseconds, or 0 if it sets none.
+fn parse_deadline(headers: &HeaderMap) -> Result<u32, String> {
     let Some(value) = headers.get(header::DEADLINE) else {
         return Ok(0);
     };
@@ -190,11 +199,12 @@
     }
 }
 
-fn read_key(headers: &HeaderMap) -> Result<Option<Uuid>, String> {
-    read_uuid(headers, header::IDEMPOTENCY_KEY)
+fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<Uuid>, String> {
+    parse_uuid(headers, header::IDEMPOTENCY_KEY)
 }
 
-fn read_uuid(headers: &HeaderMap, name: &str) -> Result<Option<Uuid>, String> {
+/// Parses the UUID in a header field, with or without double quotes.
+fn parse_uuid(headers: &HeaderMap, name: &str) -> Result<Option<Uuid>, String> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -203,6 +213,7 @@
     Uuid::parse_str(text).map(Some).map_err(|error| format!("{name}: {error}"))
 }
 
+/// Converts an answer to HTTP. An answer with a retry delay also lists other entries.
 fn build_response(
     answer: CallAnswer,
     id: Uuid,
@@ -219,29 +230,29 @@
             headers.append(name, value);
         }
     }
-    insert(headers, header::OUTCOME, answer.outcome.as_str());
-    insert(headers, header::REQUEST_ID, &id.to_string());
+    insert_header(headers, header::OUTCOME, answer.outcome.as_str());
+    insert_header(headers, header::REQUEST_ID, &id.to_string());
     if let Some(retry_after_ms) = answer.retry_after_ms {
-        insert(headers, "retry-after", &retry_after_ms.div_ceil(1000).to_string());
-        insert(headers, "hawthornhill-retry-after-ms", &retry_after_ms.to_string());
+        insert_header(headers, "retry-after", &retry_after_ms.div_ceil(1000).to_string());
+        insert_header(headers, "hawthornhill-retry-after-ms", &retry_after_ms.to_string());
         let others = handler.other_entries(service);
         let others: Vec<String> = others.iter().map(SocketAddr::to_string).collect();
         if !others.is_empty() {
-            insert(headers, header::ENTRIES, &others.join(","));
+            insert_header(headers, header::ENTRIES, &others.join(","));
         }
     }
     response
 }
 
-/// Returns an answer to a request that was not passed on.
+/// Builds the response to a request that was not passed on.
 fn refuse(status: StatusCode, reason: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{reason}\n"))));
     *response.status_mut() = status;
-    insert(response.headers_mut(), header::OUTCOME, CallOutcome::NotRun.as_str());
+    insert_header(response.headers_mut(), header::OUTCOME, CallOutcome::NotRun.as_str());
     response
 }
 
-fn insert(headers: &mut HeaderMap, name: &'static str, value: &str) {
+fn insert_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,4 +1,5 @@
-//! The peer "caller": the directory, the intake of requests over HTTP/1.1, and the graceful close.
+//! Communication with callers over HTTP/1.1: the entry directory, requests to services, and
+//! graceful shutdown.
 
 mod directory;
 mod intake;
--- a/crates/caller/src/listener.rs
+++ b/crates/caller/src/listener.rs
@@ -1,6 +1,6 @@
-//! Accepts callers' connections, and closes them gracefully at a planned stop.
+//! Accepts connections from callers, and closes them gracefully at a planned stop.
 
-use crate::{CallHandler, IntakeSettings, intake::answer};
+use crate::{CallHandler, IntakeSettings, intake::handle_request};
 use hyper::{server::conn::http1, service::service_fn};
 use hyper_util::{
     rt::{TokioIo, TokioTimer},
@@ -11,15 +11,18 @@
 use thiserror::Error;
 use tokio::{net::TcpListener, sync::Notify, time::timeout};
 
-/// The listening socket could not be opened.
+/// Delay after a failed `accept`, so that persistent errors do not cause a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// The address could not be bound for listening.
 #[derive(Debug, Error)]
-#[error("{address}: {source}")]
+#[error("cannot listen on {address}: {source}")]
 pub struct IntakeError {
     address: SocketAddr,
     source: io::Error,
 }
 
-/// Serves callers on one address.
+/// Accepts callers on one address and passes their requests to a [`CallHandler`].
 pub struct CallerListener {
     listener: TcpListener,
     handler: Arc<dyn CallHandler>,
@@ -28,7 +31,7 @@
 }
 
 impl CallerListener {
-    /// Opens the address. Port 0 takes a free port.
+    /// Listens on `address`; port 0 selects a free port. Fails if the address cannot be bound.
     pub async fn bind(
         address: SocketAddr,
         handler: Arc<dyn CallHandler>,
@@ -40,8 +43,8 @@
         Ok(Self { listener, handler, settings, counters })
     }
 
-    /// Serves until `stop` is notified, then closes idle connections and lets requests in flight
-    /// finish, for at most `grace`. Returns whether all finished.
+    /// Serves callers until `stop` is notified. Then stops listening, closes idle connections and
+    /// waits up to `grace` for requests in flight. Returns whether all of them finished.
     pub async fn serve(self, stop: Arc<Notify>, grace: Duration) -> bool {
         let graceful = GracefulShutdown::new();
         let stopped = stop.notified();
@@ -52,10 +55,11 @@
                 () = &mut stopped => break,
             };
             let Ok((stream, _)) = accepted else {
-                tokio::time::sleep(Duration::from_millis(20)).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // Small answers must not wait for more data; a socket without the option still works.
+            // Small answers are sent without waiting for more data. The connection also works if
+            // the option cannot be set.
             let _ = stream.set_nodelay(true);
             let (handler, settings) = (self.handler.clone(), self.settings.clone());
             let counters = self.counters.clone();
@@ -63,7 +67,7 @@
                 let (handler, settings) = (handler.clone(), settings.clone());
                 let counters = counters.clone();
                 async move {
-                    let response = answer(request, &*handler, &settings, &counters).await;
+                    let response = handle_request(request, &*handler, &settings, &counters).await;
                     Ok::<_, Infallible>(response)
                 }
             });
@@ -71,10 +75,10 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(self.settings.head_timeout)
                 .serve_connection(TokioIo::new(stream), service);
-            let watched = graceful.watch(connection);
+            let connection = graceful.watch(connection);
             tokio::spawn(async move {
-                // A caller whose connection breaks asks again.
-                let _ = watched.await;
+                // Connection errors need no handling: the caller can send its request again.
+                let _ = connection.await;
             });
         }
         drop(self.listener);
