--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -48,7 +48,7 @@
         let result = connection.send(request, self.start_guard(), deadline).await;
         let outcome = send_outcome(&result, started);
         if outcome == AttemptOutcome::Broken {
-            self.transport.forget(address);
+            self.transport.close_idle_connections(address);
         }
         let load = result.as_ref().map(reported_load).unwrap_or_default();
         permit.finish(outcome, &load);
--- a/crates/server/src/http_transport.rs
+++ b/crates/server/src/http_transport.rs
@@ -46,7 +46,7 @@
         Ok(Box::new(HttpConnection { address, sender, gate, pool }))
     }
 
-    fn forget(&self, address: SocketAddr) {
+    fn close_idle_connections(&self, address: SocketAddr) {
         self.pool.clear(address);
     }
 }
--- a/crates/server/src/transport.rs
+++ b/crates/server/src/transport.rs
@@ -86,7 +86,7 @@
     ) -> Result<Box<dyn ServerConnection>, TransportError>;
 
     /// Closes the idle connections to a server.
-    fn forget(&self, address: SocketAddr);
+    fn close_idle_connections(&self, address: SocketAddr);
 }
 
 /// A connection to a server, used for one request.
