--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -80,7 +80,7 @@
         Ok(answer) if answer.is_not_run => AttemptOutcome::Shed,
         Ok(answer) if answer.status >= 500 => AttemptOutcome::ServerError,
         Ok(_) | Err(SendError::TooLarge(_)) => AttemptOutcome::Success(started.elapsed()),
-        Err(SendError::Guarded | SendError::NotSent(_)) => AttemptOutcome::Cancelled,
+        Err(SendError::RefusedByGuard | SendError::NotSent(_)) => AttemptOutcome::Cancelled,
         Err(SendError::MaybeSent(_)) => AttemptOutcome::Broken,
         Err(SendError::DeadlinePassed) => AttemptOutcome::Late,
     }
@@ -106,7 +106,7 @@
             body: answer.body,
             retry_after_ms: None,
         }),
-        Err(SendError::Guarded) => AttemptEnd::Closed,
+        Err(SendError::RefusedByGuard) => AttemptEnd::Closed,
         Err(SendError::NotSent(reason)) => AttemptEnd::NotRun(format!("{server}: {reason}")),
         Err(error @ SendError::TooLarge(_)) => AttemptEnd::Answered(CallAnswer::refusal(
             502,
--- a/crates/server/src/connection.rs
+++ b/crates/server/src/connection.rs
@@ -61,7 +61,7 @@
     /// unsent.
     fn send_error(&self, was_returned: bool, error: &hyper::Error) -> SendError {
         match self.gate.stage() {
-            SendStage::Refused => SendError::Guarded,
+            SendStage::Refused => SendError::RefusedByGuard,
             SendStage::NotStarted => SendError::NotSent(error.to_string()),
             SendStage::Started if was_returned => SendError::NotSent(error.to_string()),
             SendStage::Started => SendError::MaybeSent(error.to_string()),
--- a/crates/server/src/transport.rs
+++ b/crates/server/src/transport.rs
@@ -58,7 +58,7 @@
 pub enum SendError {
     /// The guard refused the request before its first byte was sent.
     #[error("not sent: refused by the start guard")]
-    Guarded,
+    RefusedByGuard,
     /// No byte was sent. Contains the reason.
     #[error("not sent: {0}")]
     NotSent(String),
