--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -7,4 +7,4 @@
 
 pub use directory::{DirectoryAnswer, DirectoryEntry};
 pub use intake::{CallHandler, IntakeSettings};
-pub use listener::{CallerListener, IntakeError};
+pub use listener::{CallerListener, ListenError};
--- a/crates/caller/src/listener.rs
+++ b/crates/caller/src/listener.rs
@@ -17,7 +17,7 @@
 /// The address could not be bound for listening.
 #[derive(Debug, Error)]
 #[error("cannot listen on {address}: {source}")]
-pub struct IntakeError {
+pub struct ListenError {
     address: SocketAddr,
     source: io::Error,
 }
@@ -37,9 +37,9 @@
         handler: Arc<dyn CallHandler>,
         settings: IntakeSettings,
         counters: DecisionCounters,
-    ) -> Result<Self, IntakeError> {
+    ) -> Result<Self, ListenError> {
         let listener =
-            TcpListener::bind(address).await.map_err(|source| IntakeError { address, source })?;
+            TcpListener::bind(address).await.map_err(|source| ListenError { address, source })?;
         Ok(Self { listener, handler, settings, counters })
     }
 
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -4,7 +4,7 @@
     CallDispatcher, EntryContext, ReplicatedLedger, catalog::ServerCatalog, prober::ServerProber,
     view_store::EntryViewStore,
 };
-use caller::{CallerListener, IntakeError, IntakeSettings};
+use caller::{CallerListener, IntakeSettings, ListenError};
 use follow::{LeaderClient, RefresherContext, ViewRefresher};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
 use policy::{AdmissionGate, AdmissionSettings, LoadSettings, ServerView};
@@ -40,7 +40,7 @@
 pub enum EntryError {
     /// The entry cannot listen on the callers' address.
     #[error("caller_address: {0}")]
-    Intake(#[from] IntakeError),
+    Intake(#[from] ListenError),
     /// The entry cannot listen on the servers' address.
     #[error("server_address: cannot listen on {address}: {source}")]
     Announce {
