--- a/crates/caller/src/intake.rs
+++ b/crates/caller/src/intake.rs
@@ -56,7 +56,7 @@
 
 /// Limits for the requests and connections of callers.
 #[derive(Debug, Clone)]
-pub struct IntakeSettings {
+pub struct ListenerSettings {
     /// Maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
     /// Time allowed for a request's body to arrive.
@@ -66,7 +66,7 @@
     pub head_timeout: Duration,
 }
 
-impl Default for IntakeSettings {
+impl Default for ListenerSettings {
     fn default() -> Self {
         Self {
             max_body_bytes: 1024 * 1024,
@@ -80,7 +80,7 @@
 pub(crate) async fn handle_request(
     request: Request<Incoming>,
     handler: &dyn CallHandler,
-    settings: &IntakeSettings,
+    settings: &ListenerSettings,
     counters: &DecisionCounters,
 ) -> Response<Full<Bytes>> {
     let path = request.uri().path();
@@ -145,7 +145,7 @@
 async fn read_call(
     request: Request<Incoming>,
     service: ServiceName,
-    settings: &IntakeSettings,
+    settings: &ListenerSettings,
 ) -> Result<CallRequest, (StatusCode, String)> {
     let bad_request = |reason: String| (StatusCode::BAD_REQUEST, reason);
     let (parts, body) = request.into_parts();
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -6,5 +6,5 @@
 mod listener;
 
 pub use directory::{DirectoryAnswer, DirectoryEntry};
-pub use intake::{CallHandler, IntakeSettings};
+pub use intake::{CallHandler, ListenerSettings};
 pub use listener::{CallerListener, ListenError};
--- a/crates/caller/src/listener.rs
+++ b/crates/caller/src/listener.rs
@@ -1,6 +1,6 @@
 //! Accepts connections from callers, and closes them gracefully at a planned stop.
 
-use crate::{CallHandler, IntakeSettings, intake::handle_request};
+use crate::{CallHandler, ListenerSettings, intake::handle_request};
 use hyper::{server::conn::http1, service::service_fn};
 use hyper_util::{
     rt::{TokioIo, TokioTimer},
@@ -26,7 +26,7 @@
 pub struct CallerListener {
     listener: TcpListener,
     handler: Arc<dyn CallHandler>,
-    settings: IntakeSettings,
+    settings: ListenerSettings,
     counters: DecisionCounters,
 }
 
@@ -35,7 +35,7 @@
     pub async fn bind(
         address: SocketAddr,
         handler: Arc<dyn CallHandler>,
-        settings: IntakeSettings,
+        settings: ListenerSettings,
         counters: DecisionCounters,
     ) -> Result<Self, ListenError> {
         let listener =
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::{backend::ProcessBackend, handler::RoleHandler, metrics_page::serve_metrics};
 use anyhow::{Context, Result};
-use caller::IntakeSettings;
+use caller::ListenerSettings;
 use consensus::{CoreSettings, ReplicaId};
 use entry::{EntryContext, EntryNode, EntrySettings};
 use follow::LeaderClient;
@@ -155,9 +155,9 @@
                 max_ejected_percent: MAX_PAUSED_PERCENT,
                 selector: Arc::new(LatencySelector),
             },
-            intake: IntakeSettings {
+            intake: ListenerSettings {
                 max_body_bytes: self.settings.max_body_bytes,
-                ..IntakeSettings::default()
+                ..ListenerSettings::default()
             },
             directory_max_age: Duration::from_secs(self.settings.directory_max_age_s),
             stop_grace: Duration::from_secs(self.settings.stop_grace_s),
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -4,7 +4,7 @@
     CallDispatcher, EntryContext, ReplicatedLedger, catalog::ServerCatalog, prober::ServerProber,
     view_store::EntryViewStore,
 };
-use caller::{CallerListener, IntakeSettings, ListenError};
+use caller::{CallerListener, ListenError, ListenerSettings};
 use follow::{LeaderClient, RefresherContext, ViewRefresher};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
 use policy::{AdmissionGate, AdmissionSettings, LoadSettings, ServerView};
@@ -28,7 +28,7 @@
     /// Settings for the selection of servers.
     pub load: LoadSettings,
     /// Limits for the connections and requests of callers.
-    pub intake: IntakeSettings,
+    pub intake: ListenerSettings,
     /// How long callers may cache the directory's answer.
     pub directory_max_age: Duration,
     /// Maximum time to wait for requests in flight at a planned stop.
