--- a/crates/server/src/pool.rs
+++ b/crates/server/src/pool.rs
@@ -34,8 +34,8 @@
 }
 
 impl IdlePool {
-    /// Returns a connection to the pool. Drops it if it is closed or the pool has enough for the
-    /// server.
+    /// Returns a connection to the pool. Drops it if it is closed or the server already has
+    /// [`MAX_IDLE_PER_SERVER`] idle connections.
     pub(crate) fn put(
         &self,
         address: SocketAddr,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Takes the most recently used connection to `address` that is still usable, and drops those
-    /// that are not.
+    /// Takes the most recently used connection to `address` that is still usable. Drops the
+    /// unusable ones that were used after it.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<IdleConnection> {
         let mut shard = self.shard(address).lock();
         let connections = shard.get_mut(&address)?;
--- a/crates/server/src/transport.rs
+++ b/crates/server/src/transport.rs
@@ -89,7 +89,7 @@
     fn close_idle_connections(&self, address: SocketAddr);
 }
 
-/// A connection to a server, used for one request.
+/// A connection to a server that is ready for one request.
 #[async_trait]
 pub trait ServerConnection: Send {
     /// Sends a request and waits for the complete answer until the deadline. Dropping the future
