--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,9 +1,10 @@
-//! The peer "caller": the directory, the intake of requests over HTTP/1.1, and the graceful close.
+//! Communication with callers over HTTP/1.1: the entry directory, requests to services, and
+//! graceful shutdown.
 
 mod directory;
 mod intake;
 mod listener;
 
 pub use directory::{DirectoryAnswer, DirectoryEntry};
-pub use intake::{CallHandler, IntakeSettings};
-pub use listener::{CallerListener, IntakeError};
+pub use intake::{CallHandler, ListenerSettings};
+pub use listener::{CallerListener, ListenError};
