--- a/crates/replica/src/codec.rs
+++ b/crates/replica/src/codec.rs
@@ -1,16 +1,16 @@
-//! Records on disk: magic number, length, checksum, body.
+//! On-disk record format: magic number, body length, checksum and body.
 
 use crc32fast::Hasher;
 use std::ops::Range;
 
-/// Marks the start of each record.
+/// Magic number at the start of each record.
 const RECORD_MAGIC: u32 = 0x4854_484c;
-/// Bytes before the body of a record.
+/// Size of a record header in bytes.
 pub(crate) const HEADER_BYTES: usize = 12;
-/// The greatest body of a record in bytes.
+/// Maximum size of a record body in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 1024 * 1024 * 1024;
 
-/// Returns a record with this body.
+/// Encodes a record with the given body.
 pub(crate) fn encode_record(body: &[u8]) -> Vec<u8> {
     let mut record = Vec::with_capacity(HEADER_BYTES + body.len());
     record.extend_from_slice(&RECORD_MAGIC.to_le_bytes());
@@ -20,17 +20,18 @@
     record
 }
 
-/// Returns where the body of the record at `offset` lies, if the record is whole and undamaged.
+/// Returns the byte range of the body of the record at `offset`, or `None` if the record is
+/// incomplete or damaged.
 pub(crate) fn find_record(bytes: &[u8], offset: usize) -> Option<Range<usize>> {
-    let word = |at: usize| {
-        let part = bytes.get(at..at + 4)?;
+    let read_u32 = |start: usize| {
+        let part = bytes.get(start..start + 4)?;
         Some(u32::from_le_bytes(part.try_into().ok()?))
     };
-    if word(offset)? != RECORD_MAGIC {
+    if read_u32(offset)? != RECORD_MAGIC {
         return None;
     }
-    let length = word(offset + 4)? as usize;
-    let expected = word(offset + 8)?;
+    let length = read_u32(offset + 4)? as usize;
+    let expected = read_u32(offset + 8)?;
     let start = offset + HEADER_BYTES;
     if length > MAX_BODY_BYTES {
         return None;
@@ -39,7 +40,7 @@
     (checksum(body) == expected).then_some(start..start + length)
 }
 
-/// Says whether an undamaged record begins anywhere after `offset`.
+/// Returns whether an undamaged record starts anywhere after `offset`.
 pub(crate) fn has_record_after(bytes: &[u8], offset: usize) -> bool {
     (offset + 1..bytes.len()).any(|start| find_record(bytes, start).is_some())
 }
--- a/crates/replica/src/driver.rs
+++ b/crates/replica/src/driver.rs
@@ -1,6 +1,6 @@
-//! The thread that drives the consensus core: inputs in, durable effects out.
+//! The thread that feeds inputs to the consensus core and executes the effects that it returns.
 //!
-//! All inputs that wait are taken as one batch, so that one sync serves them all.
+//! All queued inputs are processed as one batch, so that one disk sync covers them all.
 
 mod effects;
 mod reads;
@@ -10,8 +10,8 @@
 
 use crate::{
     ReplicaHandle, ReplicaStatus,
-    entry_watch::EntryWatch,
-    server_watch::ServerWatch,
+    entry_leases::EntryLeases,
+    server_leases::ServerLeases,
     store::{ReplicaStore, StoreError},
 };
 use consensus::{
@@ -46,42 +46,42 @@
     SourceText, ViewVersion,
 };
 
-/// Inputs that may wait for the thread.
+/// Capacity of the thread's input queue.
 const QUEUE_LIMIT: usize = 16_384;
-/// Inputs taken as one batch.
+/// Maximum number of inputs in a batch.
 const BATCH_LIMIT: usize = 4_096;
-/// Period of the core's ticks.
+/// Tick period of the consensus core.
 const TICK_PERIOD: Duration = Duration::from_millis(50);
-/// How long a stopping leader waits for its successor.
+/// How long a stopping leader waits for the leadership transfer to complete.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a request of an entry waits for a leader to be known; less than entries wait for an
-/// answer, which is 600 ms.
+/// How long an entry's request waits for a leader to be elected. Shorter than the entry's own
+/// timeout of 600 ms.
 pub const LEADER_WAIT: Duration = Duration::from_millis(400);
 
-/// What a replica is started with.
+/// Configuration and services of a replica.
 pub struct ReplicaSettings {
-    /// Identity bound to the data folder.
+    /// Replica identity stored in the data folder.
     pub identity: ReplicaId,
     /// Host name of this process.
     pub host: HostName,
-    /// Where other processes reach this one.
+    /// Peer address of this process.
     pub address: SocketAddr,
     /// Failure domain of the host.
     pub domain: DomainName,
-    /// Timing of the core.
+    /// Timing of the consensus core.
     pub core: CoreSettings,
-    /// How long a request of an entry waits for a leader to be known, see [`LEADER_WAIT`].
+    /// How long an entry's request waits for a leader to be elected, see [`LEADER_WAIT`].
     pub leader_wait: Duration,
     /// Links to the other replicas.
     pub link: Arc<dyn PeerLink>,
     /// Timer service.
     pub timer: TimerService,
-    /// Time line.
+    /// Event timeline.
     pub timeline: EventTimeline,
-    /// Counters of decisions.
+    /// Decision counters.
     pub counters: DecisionCounters,
-    /// Log.
+    /// Logger.
     pub logger: Logger,
 }
 
@@ -92,8 +92,8 @@
     ChangeMembership(MembershipChange, oneshot::Sender<SubmitAnswer>),
     Freshness(FreshnessRequest, oneshot::Sender<FreshnessAnswer>),
     ReadIndex(ReadIndexRequest, oneshot::Sender<Option<LogIndex>>),
-    /// The leader's answer to the read index request of this replica.
-    Relayed(Option<LogIndex>),
+    /// The leader's answer to this replica's read index request; `None` if the request failed.
+    ReadIndexAnswer(Option<LogIndex>),
     ServersSeen(Vec<(ServerName, ServerIncarnation)>),
     Bootstrap(Vec<Member>, oneshot::Sender<Result<(), String>>),
     Status(oneshot::Sender<ReplicaStatus>),
@@ -118,27 +118,33 @@
     applied: LogIndex,
     view: Arc<RwLock<Arc<types::ClusterView>>>,
     routing_source: Arc<RwLock<SourceText>>,
-    commands: BTreeMap<LogIndex, PendingCommand>,
-    freshness: HashMap<ReadToken, PendingFreshness>,
-    index_reads: HashMap<ReadToken, oneshot::Sender<Option<LogIndex>>>,
+    pending_commands: BTreeMap<LogIndex, PendingCommand>,
+    pending_freshness: HashMap<ReadToken, PendingFreshness>,
+    pending_index_reads: HashMap<ReadToken, oneshot::Sender<Option<LogIndex>>>,
     relays: RelayQueue,
     packed_view: Option<(ViewVersion, PackedView)>,
     ready_reads: Vec<ReadyRead>,
     parked: Vec<ParkedFreshness>,
     next_token: u64,
-    watch: EntryWatch,
-    server_watch: ServerWatch,
+    entry_leases: EntryLeases,
+    server_leases: ServerLeases,
     was_leader: bool,
-    /// A tick has come since the last quorum round; one round serves all reads of a tick.
-    round_is_due: bool,
+    /// A tick has passed since the last quorum round. One round serves all reads of a tick.
+    is_round_due: bool,
     snapshot_bytes: u64,
-    /// Where the senders of messages can be answered, members or not.
-    origins: HashMap<ReplicaId, PeerTarget>,
+    /// Reply addresses of message senders, including those that are not members.
+    sender_targets: HashMap<ReplicaId, PeerTarget>,
+    /// Effects whose disk write failed. Retried after each batch; inputs are rejected meanwhile.
     stalled: Option<Effects>,
+    /// Deadline of the leadership transfer, and the reply to the stop request.
     stopping: Option<(Instant, oneshot::Sender<()>)>,
 }
 
-/// Starts the replica's thread on the current tokio runtime.
+/// Starts the replica's thread, which uses the current tokio runtime.
+///
+/// # Errors
+///
+/// Fails if the restored snapshot cannot be decoded.
 pub fn start_replica(
     settings: ReplicaSettings,
     store: Box<dyn ReplicaStore>,
@@ -186,20 +192,20 @@
             applied,
             view,
             routing_source,
-            commands: BTreeMap::new(),
-            freshness: HashMap::new(),
-            index_reads: HashMap::new(),
+            pending_commands: BTreeMap::new(),
+            pending_freshness: HashMap::new(),
+            pending_index_reads: HashMap::new(),
             relays: RelayQueue::new(inputs),
             packed_view: None,
             ready_reads: Vec::new(),
             parked: Vec::new(),
             next_token: 0,
-            watch: EntryWatch::new(Instant::now()),
-            server_watch: ServerWatch::new(Instant::now()),
+            entry_leases: EntryLeases::new(Instant::now()),
+            server_leases: ServerLeases::new(Instant::now()),
             was_leader: false,
-            round_is_due: false,
+            is_round_due: false,
             snapshot_bytes,
-            origins: HashMap::new(),
+            sender_targets: HashMap::new(),
             stalled: None,
             stopping: None,
         })
@@ -207,76 +213,79 @@
 
     fn run(mut self, mut queue: mpsc::Receiver<ReplicaInput>) {
         while let Some(input) = queue.blocking_recv() {
-            self.take_input(input);
+            self.handle_input(input);
             for _ in 1..BATCH_LIMIT {
                 let Ok(input) = queue.try_recv() else {
                     break;
                 };
-                self.take_input(input);
+                self.handle_input(input);
             }
-            self.carry_out();
-            if self.stop_is_due() {
+            self.process_effects();
+            if self.try_finish_stop() {
                 return;
             }
         }
     }
 
-    fn take_input(&mut self, input: ReplicaInput) {
+    fn handle_input(&mut self, input: ReplicaInput) {
         if self.stalled.is_some() {
-            self.refuse_input(input);
+            self.reject_input(input);
             return;
         }
         match input {
             ReplicaInput::Tick(now) => self.tick(now),
-            ReplicaInput::Message(message) => self.take_message(message),
+            ReplicaInput::Message(message) => self.handle_message(message),
             ReplicaInput::Submit(command, reply) => self.submit(command, reply),
             ReplicaInput::ChangeMembership(change, reply) => {
                 self.change_membership(&change, reply);
             }
             ReplicaInput::Freshness(request, reply) => self.start_freshness(request, reply),
             ReplicaInput::ReadIndex(request, reply) => self.start_read_index(request, reply),
-            ReplicaInput::Relayed(index) => self.take_read_index(index),
+            ReplicaInput::ReadIndexAnswer(index) => self.handle_read_index(index),
             ReplicaInput::ServersSeen(servers) => {
-                self.server_watch.observe(servers, Instant::now());
+                self.server_leases.observe(servers, Instant::now());
             }
-            ReplicaInput::Bootstrap(members, reply) => answer(reply, self.bootstrap(members)),
-            ReplicaInput::Status(reply) => answer(reply, self.status()),
+            ReplicaInput::Bootstrap(members, reply) => send_reply(reply, self.bootstrap(members)),
+            ReplicaInput::Status(reply) => send_reply(reply, self.status()),
             ReplicaInput::Stop(reply) => self.begin_stop(reply),
         }
     }
 
-    /// Answers an input while the disk refuses writes.
-    fn refuse_input(&mut self, input: ReplicaInput) {
+    /// Rejects an input while writes to the disk fail.
+    fn reject_input(&mut self, input: ReplicaInput) {
         let reason = "the disk of this replica refuses writes".to_owned();
         match input {
             ReplicaInput::Tick(_) | ReplicaInput::Message(_) | ReplicaInput::ServersSeen(_) => {}
-            ReplicaInput::ReadIndex(_, reply) => answer(reply, None),
-            ReplicaInput::Relayed(_) => self.take_read_index(None),
+            ReplicaInput::ReadIndex(_, reply) => send_reply(reply, None),
+            ReplicaInput::ReadIndexAnswer(_) => self.handle_read_index(None),
             ReplicaInput::Submit(_, reply) | ReplicaInput::ChangeMembership(_, reply) => {
                 self.settings.counters.count("refused-disk");
-                answer(reply, SubmitAnswer::Refused(reason));
+                send_reply(reply, SubmitAnswer::Refused(reason));
             }
-            ReplicaInput::Freshness(_, reply) => answer(reply, FreshnessAnswer::NotLeader(None)),
-            ReplicaInput::Bootstrap(_, reply) => answer(reply, Err(reason)),
-            ReplicaInput::Status(reply) => answer(reply, self.status()),
+            ReplicaInput::Freshness(_, reply) => {
+                send_reply(reply, FreshnessAnswer::NotLeader(None));
+            }
+            ReplicaInput::Bootstrap(_, reply) => send_reply(reply, Err(reason)),
+            ReplicaInput::Status(reply) => send_reply(reply, self.status()),
             ReplicaInput::Stop(reply) => self.stopping = Some((Instant::now(), reply)),
         }
     }
 
     fn tick(&mut self, now: Instant) {
         self.core.tick();
-        self.round_is_due = true;
+        self.is_round_due = true;
         if self.core.is_leader() && self.was_leader {
-            let mut commands = self.watch.expirations(self.state.view(), now);
-            commands.extend(self.server_watch.expirations(self.state.view(), now));
+            let mut commands = self.entry_leases.expirations(self.state.view(), now);
+            commands.extend(self.server_leases.expirations(self.state.view(), now));
             for command in commands {
-                self.propose_own(command);
+                self.propose_internal(command);
             }
         }
     }
 
-    fn propose_own(&mut self, command: Command) {
-        // A replica that has just lost leadership leaves the command to its successor.
+    /// Proposes a command on behalf of the leader itself.
+    fn propose_internal(&mut self, command: Command) {
+        // Fails if leadership was just lost; the new leader then proposes the command.
         let _ = self.core.propose(LogTime(wall_clock_ms()), command);
     }
 
@@ -284,9 +293,9 @@
         match self.core.propose(LogTime(wall_clock_ms()), command) {
             Ok(index) => {
                 let term = self.core.term();
-                self.commands.insert(index, PendingCommand { term, reply });
+                self.pending_commands.insert(index, PendingCommand { term, reply });
             }
-            Err(error) => answer(reply, self.refusal(error)),
+            Err(error) => send_reply(reply, self.refusal(error)),
         }
     }
 
@@ -297,8 +306,8 @@
     ) {
         let result = self.core.change_membership(LogTime(wall_clock_ms()), change);
         match result {
-            Ok(_) => answer(reply, SubmitAnswer::Accepted),
-            Err(error) => answer(reply, self.refusal(error)),
+            Ok(_) => send_reply(reply, SubmitAnswer::Accepted),
+            Err(error) => send_reply(reply, self.refusal(error)),
         }
     }
 
@@ -320,24 +329,27 @@
         self.stopping = Some((Instant::now() + TRANSFER_TIMEOUT, reply));
     }
 
-    fn stop_is_due(&mut self) -> bool {
+    /// Confirms a requested stop once leadership is transferred or the transfer has timed out.
+    /// Returns whether the thread must end.
+    fn try_finish_stop(&mut self) -> bool {
         let is_due = match &self.stopping {
             Some((deadline, _)) => !self.core.is_leader() || Instant::now() >= *deadline,
             None => false,
         };
         if is_due && let Some((_, reply)) = self.stopping.take() {
-            answer(reply, ());
+            send_reply(reply, ());
         }
         is_due
     }
 
-    fn take_message(&mut self, message: ConsensusMessage) {
+    fn handle_message(&mut self, message: ConsensusMessage) {
         let target = PeerTarget { host: message.host, address: message.address };
-        self.origins.insert(message.envelope.from, target);
+        self.sender_targets.insert(message.envelope.from, target);
         self.core.step(message.envelope);
     }
 
-    fn note_leadership(&mut self) {
+    /// Reacts to a change of this replica's leadership.
+    fn update_leadership(&mut self) {
         let is_leader = self.core.is_leader();
         if is_leader == self.was_leader {
             return;
@@ -345,8 +357,8 @@
         self.was_leader = is_leader;
         let term = self.core.term().0;
         if is_leader {
-            self.watch = EntryWatch::new(Instant::now());
-            self.server_watch = ServerWatch::new(Instant::now());
+            self.entry_leases = EntryLeases::new(Instant::now());
+            self.server_leases = ServerLeases::new(Instant::now());
             self.settings.counters.count("leader-elected");
             info!(self.settings.logger, "leading"; "term" => term);
             self.record(EventKind::LeaderElected, EventTags::default(), format!("term {term}"));
@@ -354,28 +366,28 @@
             self.settings.counters.count("leader-lost");
             warn!(self.settings.logger, "no longer leading"; "term" => term);
             self.record(EventKind::LeaderLost, EventTags::default(), format!("term {term}"));
-            self.drop_pending();
+            self.fail_pending();
         }
     }
 
-    /// Answers all waiting requests, whose fate this replica can no longer tell.
-    fn drop_pending(&mut self) {
-        for pending in std::mem::take(&mut self.commands).into_values() {
-            answer(pending.reply, SubmitAnswer::Unknown);
+    /// Ends all pending requests, whose outcome this replica can no longer determine.
+    fn fail_pending(&mut self) {
+        for pending in std::mem::take(&mut self.pending_commands).into_values() {
+            send_reply(pending.reply, SubmitAnswer::Unknown);
         }
-        for pending in std::mem::take(&mut self.freshness).into_values() {
-            answer(pending.reply, FreshnessAnswer::NotLeader(None));
+        for pending in std::mem::take(&mut self.pending_freshness).into_values() {
+            send_reply(pending.reply, FreshnessAnswer::NotLeader(None));
         }
-        for reply in std::mem::take(&mut self.index_reads).into_values() {
-            answer(reply, None);
+        for reply in std::mem::take(&mut self.pending_index_reads).into_values() {
+            send_reply(reply, None);
         }
         self.expire_parked(Instant::now() + self.settings.leader_wait);
-        self.drop_relays();
+        self.redirect_relays();
         self.ready_reads.clear();
     }
 }
 
-/// Answers a request. A requester that no longer waits needs no answer.
-fn answer<T>(reply: oneshot::Sender<T>, value: T) {
+/// Sends a reply; does nothing if the requester has stopped waiting.
+fn send_reply<T>(reply: oneshot::Sender<T>, value: T) {
     let _ = reply.send(value);
 }
--- a/crates/replica/src/driver/effects.rs
+++ b/crates/replica/src/driver/effects.rs
@@ -1,6 +1,6 @@
-//! Carrying out what the core decides: syncs, messages, applied commands.
+//! Executes the effects of the consensus core: disk syncs, messages and committed commands.
 
-use super::{ReplicaDriver, answer};
+use super::{ReplicaDriver, send_reply};
 use crate::store::{LogBatch, StoreError};
 use consensus::{Effects, Envelope, LogEntry, LogPayload};
 use peer::{ConsensusMessage, PeerRequest, PeerTarget, SubmitAnswer};
@@ -10,46 +10,47 @@
 use types::{ChangeAction, Command, CommandAnswer};
 
 impl ReplicaDriver {
-    /// Carries out all effects, and those that they cause in turn.
-    pub(super) fn carry_out(&mut self) {
+    /// Executes all effects of the consensus core, first those whose disk write failed.
+    pub(super) fn process_effects(&mut self) {
         if let Some(effects) = self.stalled.take()
-            && !self.carry_out_batch(effects)
+            && !self.apply_effects(effects)
         {
             return;
         }
         loop {
-            if !self.carry_out_effects() {
+            if !self.drain_effects() {
                 return;
             }
-            self.note_leadership();
+            self.update_leadership();
             if !self.resume_parked() {
                 break;
             }
         }
         self.expire_parked(Instant::now());
-        self.start_relay();
-        self.make_snapshot();
+        self.request_read_index();
+        self.make_snapshot_if_due();
     }
 
-    /// Returns false if the disk refused.
-    fn carry_out_effects(&mut self) -> bool {
+    /// Executes effects until none are left. Returns false if a disk write failed.
+    fn drain_effects(&mut self) -> bool {
         loop {
             self.core.replicate();
-            if std::mem::take(&mut self.round_is_due) {
+            if std::mem::take(&mut self.is_round_due) {
                 self.core.start_read_round();
             }
             let effects = self.core.take_effects();
             if effects.is_empty() {
                 return true;
             }
-            if !self.carry_out_batch(effects) {
+            if !self.apply_effects(effects) {
                 return false;
             }
         }
     }
 
-    /// Returns false if the disk refused, in which case the effects wait.
-    fn carry_out_batch(&mut self, mut effects: Effects) -> bool {
+    /// Executes one set of effects. If the disk write fails, keeps the effects for a retry and returns
+    /// false.
+    fn apply_effects(&mut self, mut effects: Effects) -> bool {
         for envelope in effects.early_messages.drain(..) {
             self.send(envelope);
         }
@@ -58,7 +59,7 @@
             return false;
         }
         if let Some(image) = &effects.install {
-            self.install(image);
+            self.install_snapshot(image);
         }
         if let Some(entry) = effects.entries.last() {
             self.core.mark_persisted(entry.index);
@@ -71,10 +72,10 @@
         }
         self.publish_view();
         self.ready_reads.append(&mut effects.reads);
-        self.finish_freshness();
-        self.finish_relays();
+        self.serve_ready_reads();
+        self.serve_relays();
         for token in effects.failed_reads.drain(..) {
-            self.fail_freshness(token);
+            self.fail_read(token);
         }
         true
     }
@@ -91,7 +92,7 @@
         match &effects.install {
             Some(image) => {
                 let hard_state = Some(self.core.hard_state());
-                self.store.replace(image, &LogBatch { hard_state, ..batch })
+                self.store.install_snapshot(image, &LogBatch { hard_state, ..batch })
             }
             None => self.store.append(&batch),
         }
@@ -100,17 +101,18 @@
     fn stall(&mut self, effects: Effects, error: &StoreError) {
         self.settings.counters.count("disk-refused");
         if self.stalled.is_none() {
-            error!(self.settings.logger, "disk refuses writes"; "error" => %error);
+            error!(self.settings.logger, "failed to write to the data folder; rejecting requests";
+                "error" => %error);
         }
         self.stalled = Some(effects);
-        self.drop_pending();
+        self.fail_pending();
     }
 
     fn send(&self, envelope: Envelope) {
         let member = self.core.membership().get(envelope.to);
         let target = member
             .map(|member| PeerTarget { host: member.host.clone(), address: member.address })
-            .or_else(|| self.origins.get(&envelope.to).cloned());
+            .or_else(|| self.sender_targets.get(&envelope.to).cloned());
         let Some(target) = target else {
             return;
         };
@@ -121,7 +123,7 @@
 
     fn apply(&mut self, entry: LogEntry) {
         let index = entry.index;
-        let answer_of = match &entry.payload {
+        let command_answer = match &entry.payload {
             LogPayload::Noop => CommandAnswer::Done,
             LogPayload::Membership(membership) => {
                 let detail = format!("{} members", membership.members().len());
@@ -136,13 +138,13 @@
             }
         };
         self.applied = index;
-        if let Some(pending) = self.commands.remove(&index) {
+        if let Some(pending) = self.pending_commands.remove(&index) {
             let result = if pending.term == entry.term {
-                SubmitAnswer::Applied(answer_of)
+                SubmitAnswer::Applied(command_answer)
             } else {
                 SubmitAnswer::NotLeader(None)
             };
-            answer(pending.reply, result);
+            send_reply(pending.reply, result);
         }
     }
 
@@ -166,7 +168,7 @@
         self.settings.timeline.record(kind, tags, detail);
     }
 
-    /// Makes the state's view known to other threads, if it has changed.
+    /// Publishes the state's view to other threads, if it has changed.
     fn publish_view(&self) {
         if self.view.read().version != self.state.view().version {
             let mut source = self.routing_source.write();
--- a/crates/replica/src/driver/reads.rs
+++ b/crates/replica/src/driver/reads.rs
@@ -1,7 +1,7 @@
-//! Freshness requests: each waits for its quorum round and for the index that it covers.
+//! Freshness requests. Each waits for a quorum round and until the round's read index is applied.
 
-use super::{PendingFreshness, ReplicaDriver, answer};
-use crate::entry_watch::EntryWatch;
+use super::{PendingFreshness, ReplicaDriver, send_reply};
+use crate::entry_leases::EntryLeases;
 use consensus::{LeaderHint, ReadToken};
 use peer::{
     FreshnessAnswer, FreshnessGrant, FreshnessRequest, PackedView, ViewTransfer, replicas_digest,
@@ -12,12 +12,13 @@
 use tokio::sync::oneshot;
 use types::{ViewUpdate, ViewVersion};
 
-/// Changes that follow a packed view before it is packed anew.
+/// Maximum number of changes sent along with a cached packed view. Beyond it, the view is packed
+/// again.
 const MAX_PACKED_LAG: usize = 256;
 
-/// A request that came while no leader was known.
+/// A request that arrived while no leader was known.
 pub(super) struct ParkedFreshness {
-    until: Instant,
+    deadline: Instant,
     pending: PendingFreshness,
 }
 
@@ -32,40 +33,40 @@
         if self.core.queue_read(token).is_err() {
             let pending = PendingFreshness { request, reply };
             if self.core.leader() != LeaderHint(None) && pending.request.may_relay {
-                self.relays.queue(pending);
+                self.relays.push(pending);
             } else if self.core.leader() == LeaderHint(None) {
-                let until = Instant::now() + self.settings.leader_wait;
-                self.parked.push(ParkedFreshness { until, pending });
+                let deadline = Instant::now() + self.settings.leader_wait;
+                self.parked.push(ParkedFreshness { deadline, pending });
             } else {
-                self.refer(pending);
+                self.redirect_to_leader(pending);
             }
             return;
         }
         if let Some(entry) = &request.entry {
-            self.watch.observe(&entry.name, request.version, Instant::now());
-            for command in EntryWatch::registration(self.state.view(), entry) {
-                self.propose_own(command);
+            self.entry_leases.observe(&entry.name, request.version, Instant::now());
+            for command in EntryLeases::registration(self.state.view(), entry) {
+                self.propose_internal(command);
             }
         }
-        self.freshness.insert(token, PendingFreshness { request, reply });
+        self.pending_freshness.insert(token, PendingFreshness { request, reply });
     }
 
-    pub(super) fn finish_freshness(&mut self) {
+    pub(super) fn serve_ready_reads(&mut self) {
         let applied = self.applied;
         let ready = std::mem::take(&mut self.ready_reads);
         for read in ready {
-            if let Some(reply) = self.index_reads.remove(&read.token) {
-                answer(reply, Some(read.index));
+            if let Some(reply) = self.pending_index_reads.remove(&read.token) {
+                send_reply(reply, Some(read.index));
             } else if read.index > applied {
                 self.ready_reads.push(read);
-            } else if let Some(pending) = self.freshness.remove(&read.token) {
-                self.grant(pending);
+            } else if let Some(pending) = self.pending_freshness.remove(&read.token) {
+                self.send_grant(pending);
             }
         }
     }
 
-    /// Answers with what the entry lacks of this replica's view.
-    pub(super) fn grant(&mut self, pending: PendingFreshness) {
+    /// Answers with the changes that the entry's view lacks.
+    pub(super) fn send_grant(&mut self, pending: PendingFreshness) {
         let update = self.transfer_since(pending.request.version);
         let mut replicas = self.replica_addresses();
         let digest = replicas_digest(replicas.iter().map(|replica| replica.address));
@@ -74,11 +75,11 @@
         }
         let domain = self.settings.domain.clone();
         let grant = FreshnessGrant { update, replicas, domain };
-        answer(pending.reply, FreshnessAnswer::Granted(grant));
+        send_reply(pending.reply, FreshnessAnswer::Granted(grant));
     }
 
-    /// Returns what brings an entry at `version` to the current view. Whole views are packed once
-    /// for all entries that ask within a few changes.
+    /// Returns the update from `version` to the current view. Packed views are cached, so that
+    /// entries that need a whole view within [`MAX_PACKED_LAG`] changes share one.
     fn transfer_since(&mut self, version: ViewVersion) -> ViewTransfer {
         if let Some(changes) = self.state.changes_since(version) {
             return ViewTransfer::Plain(ViewUpdate::Changes(changes));
@@ -96,23 +97,23 @@
                 ViewTransfer::Packed(packed, Vec::new())
             }
             Err(error) => {
-                warn!(self.settings.logger, "view not packed"; "error" => %error);
+                warn!(self.settings.logger, "failed to compress the view"; "error" => %error);
                 ViewTransfer::Plain(ViewUpdate::Whole(Box::new(view.clone())))
             }
         }
     }
 
-    pub(super) fn fail_freshness(&mut self, token: ReadToken) {
-        if let Some(reply) = self.index_reads.remove(&token) {
-            answer(reply, None);
+    pub(super) fn fail_read(&mut self, token: ReadToken) {
+        if let Some(reply) = self.pending_index_reads.remove(&token) {
+            send_reply(reply, None);
         }
-        if let Some(pending) = self.freshness.remove(&token) {
-            self.refer(pending);
+        if let Some(pending) = self.pending_freshness.remove(&token) {
+            self.redirect_to_leader(pending);
         }
     }
 
-    /// Takes up the requests that wait for a leader, if one is known by now. Returns whether this
-    /// replica has any of them to serve.
+    /// Restarts the parked requests once a leader is known. Returns whether there were any and this
+    /// replica is the leader, so that it has to serve them.
     pub(super) fn resume_parked(&mut self) -> bool {
         if self.parked.is_empty() || self.core.leader() == LeaderHint(None) {
             return false;
@@ -120,20 +121,20 @@
         for parked in std::mem::take(&mut self.parked) {
             self.start_freshness(parked.pending.request, parked.pending.reply);
         }
-        self.round_is_due = self.core.is_leader();
-        self.round_is_due
+        self.is_round_due = self.core.is_leader();
+        self.is_round_due
     }
 
-    /// Answers the requests that have waited for a leader in vain.
+    /// Fails the parked requests whose wait for a leader has timed out.
     pub(super) fn expire_parked(&mut self, now: Instant) {
-        for parked in self.parked.extract_if(.., |parked| parked.until <= now) {
-            answer(parked.pending.reply, FreshnessAnswer::NotLeader(None));
+        for parked in self.parked.extract_if(.., |parked| parked.deadline <= now) {
+            send_reply(parked.pending.reply, FreshnessAnswer::NotLeader(None));
         }
     }
 
-    pub(super) fn refer(&self, pending: PendingFreshness) {
+    pub(super) fn redirect_to_leader(&self, pending: PendingFreshness) {
         let hint = self.leader_address(self.core.leader());
-        answer(pending.reply, FreshnessAnswer::NotLeader(hint));
+        send_reply(pending.reply, FreshnessAnswer::NotLeader(hint));
     }
 
     pub(super) fn replica_addresses(&self) -> Vec<ReplicaAddress> {
--- a/crates/replica/src/driver/relays.rs
+++ b/crates/replica/src/driver/relays.rs
@@ -1,12 +1,12 @@
-//! Reads that a follower serves for the leader.
+//! Follower reads.
 //!
-//! A follower asks the leader for a read index, which the leader gives after a quorum round, and
-//! serves its entries once it has applied the log up to there. One request stands for all entries
-//! that wait, so that the leader's work grows with the replicas and not with the entries, and views
+//! A follower requests a read index from the leader, which returns one after a quorum round, and
+//! serves its entries once it has applied the log up to that index. One request covers all waiting
+//! entries, so the leader's load grows with the number of replicas rather than entries, and views
 //! need not cross failure domains.
 
-use super::{PendingFreshness, ReplicaDriver, ReplicaInput, answer};
-use crate::entry_watch::EntryWatch;
+use super::{PendingFreshness, ReplicaDriver, ReplicaInput, send_reply};
+use crate::entry_leases::EntryLeases;
 use consensus::{LogIndex, ReadToken};
 use peer::{PeerAnswer, PeerRequest, PeerTarget, ReadIndexRequest};
 use std::{
@@ -16,28 +16,29 @@
 use tokio::sync::{mpsc, oneshot};
 use types::{EntryName, ViewVersion};
 
-/// Time allowed to the leader for a read index. Entries give a follower less before they ask the
-/// leader themselves.
+/// Timeout of a read index request. Entries wait less than this for a follower before they ask the
+/// leader directly.
 const READ_INDEX_TIMEOUT: Duration = Duration::from_millis(500);
-/// Least time between two requests for a read index, but for entries that hold no view yet. Entries
-/// poll every 250 ms, so that this costs them little.
-const RELAY_SPACING: Duration = Duration::from_millis(100);
-/// How often the leader is told of an entry that is served here; a part of the entry's lease.
+/// Minimum interval between read index requests. Does not apply while an entry without a view is
+/// waiting. Entries poll every 250 ms, so the interval adds little delay.
+const MIN_RELAY_INTERVAL: Duration = Duration::from_millis(100);
+/// How often the leader receives a report about each entry served here; a fraction of the entry's
+/// lease.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Requests of entries on their way through the leader.
+/// Entry requests that wait for a read index from the leader.
 pub(super) struct RelayQueue {
     inputs: mpsc::WeakSender<ReplicaInput>,
-    /// Came after the request that is on its way to the leader.
+    /// Wait for the next read index request.
     queued: Vec<PendingFreshness>,
-    /// Stand behind the request that is on its way.
-    asked: Vec<PendingFreshness>,
-    is_asking: bool,
-    asked_at: Option<Instant>,
-    /// When the leader was last told of an entry.
-    reported: HashMap<EntryName, Instant>,
-    /// Have their index, which is not applied yet.
-    indexed: Vec<(LogIndex, PendingFreshness)>,
+    /// Covered by the read index request in flight.
+    in_flight: Vec<PendingFreshness>,
+    has_request_in_flight: bool,
+    last_request: Option<Instant>,
+    /// Time of the last report to the leader about each entry.
+    last_reports: HashMap<EntryName, Instant>,
+    /// Wait until the log is applied up to their read index.
+    awaiting_apply: Vec<(LogIndex, PendingFreshness)>,
 }
 
 impl RelayQueue {
@@ -45,42 +46,43 @@
         Self {
             inputs,
             queued: Vec::new(),
-            asked: Vec::new(),
-            is_asking: false,
-            asked_at: None,
-            reported: HashMap::new(),
-            indexed: Vec::new(),
+            in_flight: Vec::new(),
+            has_request_in_flight: false,
+            last_request: None,
+            last_reports: HashMap::new(),
+            awaiting_apply: Vec::new(),
         }
     }
 
-    pub(super) fn queue(&mut self, pending: PendingFreshness) {
+    pub(super) fn push(&mut self, pending: PendingFreshness) {
         self.queued.push(pending);
     }
 
-    /// Says whether a request to the leader should start now.
+    /// Returns whether to send a read index request now.
     fn is_due(&self, now: Instant) -> bool {
-        let is_spaced = self.asked_at.is_none_or(|asked| now >= asked + RELAY_SPACING);
-        let holds_nothing =
+        let has_interval_passed =
+            self.last_request.is_none_or(|last| now >= last + MIN_RELAY_INTERVAL);
+        let has_no_view =
             |pending: &PendingFreshness| pending.request.version == ViewVersion::default();
-        !self.is_asking
+        !self.has_request_in_flight
             && !self.queued.is_empty()
-            && (is_spaced || self.queued.iter().any(holds_nothing))
+            && (has_interval_passed || self.queued.iter().any(has_no_view))
     }
 
-    /// Says whether the leader should be told of an entry now, and notes that it is.
-    fn report(&mut self, entry: &EntryName, now: Instant) -> bool {
-        let is_due = self.reported.get(entry).is_none_or(|last| now >= *last + REPORT_PERIOD);
+    /// Returns whether a report about an entry is due, and if so records it as sent.
+    fn record_report_if_due(&mut self, entry: &EntryName, now: Instant) -> bool {
+        let is_due = self.last_reports.get(entry).is_none_or(|last| now >= *last + REPORT_PERIOD);
         if is_due {
-            self.reported.retain(|_, last| now < *last + 2 * REPORT_PERIOD);
-            self.reported.insert(entry.clone(), now);
+            self.last_reports.retain(|_, last| now < *last + 2 * REPORT_PERIOD);
+            self.last_reports.insert(entry.clone(), now);
         }
         is_due
     }
 }
 
 impl ReplicaDriver {
-    /// Asks the leader on behalf of the entries that wait, unless a request is on its way already.
-    pub(super) fn start_relay(&mut self) {
+    /// Sends a read index request for the queued entries, if one is due.
+    pub(super) fn request_read_index(&mut self) {
         let now = Instant::now();
         if !self.relays.is_due(now) {
             return;
@@ -88,63 +90,66 @@
         let queued = std::mem::take(&mut self.relays.queued);
         let leader = self.leader_address(self.core.leader());
         let (Some(leader), Some(inputs)) = (leader, self.relays.inputs.upgrade()) else {
-            queued.into_iter().for_each(|pending| self.refer(pending));
+            queued.into_iter().for_each(|pending| self.redirect_to_leader(pending));
             return;
         };
-        let request = PeerRequest::ReadIndex(self.read_index_request(&queued, now));
-        self.relays.asked = queued;
-        (self.relays.is_asking, self.relays.asked_at) = (true, Some(now));
+        let request = PeerRequest::ReadIndex(self.build_read_index_request(&queued, now));
+        self.relays.in_flight = queued;
+        (self.relays.has_request_in_flight, self.relays.last_request) = (true, Some(now));
         let link = self.settings.link.clone();
         tokio::spawn(async move {
             let target = PeerTarget { host: leader.host, address: leader.address };
             let index = match link.call(&target, request, READ_INDEX_TIMEOUT).await {
                 Ok(PeerAnswer::ReadIndex(index)) => index,
-                // The entries are told that this replica cannot serve them.
+                // The entries are redirected to the leader.
                 _ => None,
             };
-            // A replica that has stopped serves no entry.
-            let _ = inputs.send(ReplicaInput::Relayed(index)).await;
+            // Fails only if the replica has stopped.
+            let _ = inputs.send(ReplicaInput::ReadIndexAnswer(index)).await;
         });
     }
 
-    /// Takes the leader's answer, `None` if there was none.
-    pub(super) fn take_read_index(&mut self, index: Option<LogIndex>) {
-        self.relays.is_asking = false;
-        let asked = std::mem::take(&mut self.relays.asked);
+    /// Handles the leader's answer; `None` if the request failed.
+    pub(super) fn handle_read_index(&mut self, index: Option<LogIndex>) {
+        self.relays.has_request_in_flight = false;
+        let in_flight = std::mem::take(&mut self.relays.in_flight);
         match index {
             Some(index) => {
-                self.relays.indexed.extend(asked.into_iter().map(|pending| (index, pending)));
-                self.finish_relays();
+                let awaiting_apply = &mut self.relays.awaiting_apply;
+                awaiting_apply.extend(in_flight.into_iter().map(|pending| (index, pending)));
+                self.serve_relays();
             }
             None => {
-                // The leader, or its successor, may not have heard of these entries.
-                self.relays.reported.clear();
+                // The leader may not have received the reports in this request.
+                self.relays.last_reports.clear();
                 self.settings.counters.count("read-index-failed");
-                asked.into_iter().for_each(|pending| self.refer(pending));
+                in_flight.into_iter().for_each(|pending| self.redirect_to_leader(pending));
             }
         }
     }
 
-    /// Serves the entries whose index is applied.
-    pub(super) fn finish_relays(&mut self) {
+    /// Serves the entries whose read index is applied.
+    pub(super) fn serve_relays(&mut self) {
         let applied = self.applied;
         let is_ready = |(index, _): &mut (LogIndex, PendingFreshness)| *index <= applied;
-        let ready: Vec<_> = self.relays.indexed.extract_if(.., is_ready).collect();
-        ready.into_iter().for_each(|(_, pending)| self.grant(pending));
-        // Entries that no longer wait need no answer.
-        self.relays.indexed.retain(|(_, pending)| !pending.reply.is_closed());
+        let ready: Vec<_> = self.relays.awaiting_apply.extract_if(.., is_ready).collect();
+        ready.into_iter().for_each(|(_, pending)| self.send_grant(pending));
+        // Drop requests whose entries have stopped waiting.
+        self.relays.awaiting_apply.retain(|(_, pending)| !pending.reply.is_closed());
     }
 
-    /// Sends all entries elsewhere.
-    pub(super) fn drop_relays(&mut self) {
-        let indexed = std::mem::take(&mut self.relays.indexed);
+    /// Redirects the entries that are queued or wait for their read index to be applied.
+    pub(super) fn redirect_relays(&mut self) {
+        let awaiting_apply = std::mem::take(&mut self.relays.awaiting_apply);
         let queued = std::mem::take(&mut self.relays.queued);
-        indexed.into_iter().for_each(|(_, pending)| self.refer(pending));
-        queued.into_iter().for_each(|pending| self.refer(pending));
+        awaiting_apply.into_iter().for_each(|(_, pending)| self.redirect_to_leader(pending));
+        queued.into_iter().for_each(|pending| self.redirect_to_leader(pending));
     }
 
-    /// Begins a quorum round for a follower, if this replica leads. Processes that are no replicas
-    /// may not speak for entries, and replicas that were removed lag behind for good.
+    /// Queues a quorum round for a follower, if this replica is the leader.
+    ///
+    /// Rejects requests from non-members: other processes must not report on behalf of entries, and
+    /// removed replicas no longer receive the log, so they would never catch up.
     pub(super) fn start_read_index(
         &mut self,
         request: ReadIndexRequest,
@@ -154,24 +159,24 @@
         self.next_token += 1;
         if self.core.membership().get(request.replica).is_none() {
             self.settings.counters.count("read-index-refused");
-            return answer(reply, None);
+            return send_reply(reply, None);
         }
         if self.core.queue_read(token).is_err() {
-            return answer(reply, None);
+            return send_reply(reply, None);
         }
         let now = Instant::now();
         for (entry, version) in &request.entries {
-            self.watch.observe(entry, *version, now);
+            self.entry_leases.observe(entry, *version, now);
         }
         for entry in &request.changed {
-            for command in EntryWatch::registration(self.state.view(), entry) {
-                self.propose_own(command);
+            for command in EntryLeases::registration(self.state.view(), entry) {
+                self.propose_internal(command);
             }
         }
-        self.index_reads.insert(token, reply);
+        self.pending_index_reads.insert(token, reply);
     }
 
-    fn read_index_request(
+    fn build_read_index_request(
         &mut self,
         queued: &[PendingFreshness],
         now: Instant,
@@ -184,7 +189,7 @@
             if self.state.view().entry(&entry.name) != Some(entry) {
                 changed.push(entry.clone());
             }
-            if self.relays.report(&entry.name, now) {
+            if self.relays.record_report_if_due(&entry.name, now) {
                 entries.push((entry.name.clone(), pending.request.version));
             }
         }
--- a/crates/replica/src/driver/report.rs
+++ b/crates/replica/src/driver/report.rs
@@ -1,4 +1,4 @@
-//! The replica's account of itself for operators.
+//! Builds the replica's status for operators.
 
 use super::ReplicaDriver;
 use crate::{EntryStatus, MemberStatus, ReplicaStatus};
@@ -20,11 +20,12 @@
             }
         };
         let entry_status = |info: &EntryInfo| {
-            let sighting = self.watch.sighting(&info.name, now).filter(|_| self.core.is_leader());
+            let contact =
+                self.entry_leases.last_contact(&info.name, now).filter(|_| self.core.is_leader());
             EntryStatus {
                 info: info.clone(),
-                view: sighting.map(|(version, _)| version),
-                age_ms: sighting.map(|(_, age)| age.as_millis() as u64),
+                view: contact.map(|(version, _)| version),
+                age_ms: contact.map(|(_, age)| age.as_millis() as u64),
             }
         };
         ReplicaStatus {
--- a/crates/replica/src/driver/snapshots.rs
+++ b/crates/replica/src/driver/snapshots.rs
@@ -1,4 +1,5 @@
-//! Snapshots: the first one that forms a group, those made as the log grows, and those of a leader.
+//! Snapshots: the initial one of a new set of replicas, those that compact the log, and those
+//! received from the leader.
 
 use super::ReplicaDriver;
 use crate::store::{LogBatch, StoreError};
@@ -7,10 +8,11 @@
 use std::sync::Arc;
 use types::{ClusterState, LogTime};
 
-/// A snapshot is made when the log has at least this many bytes, and twice those of the last one.
+/// Minimum log size in bytes for a snapshot. The log must also be at least twice as large as the
+/// last snapshot.
 const SNAPSHOT_MIN_LOG_BYTES: u64 = 4 * 1024 * 1024;
-/// Entries kept in memory after a snapshot, for followers that are a little behind.
-const TAIL_ENTRIES: u64 = 4_096;
+/// Number of log entries kept in memory after a snapshot, for followers that lag slightly.
+const RETAINED_ENTRIES: u64 = 4_096;
 
 impl ReplicaDriver {
     pub(super) fn bootstrap(&mut self, members: Vec<Member>) -> Result<(), String> {
@@ -35,15 +37,15 @@
         let image = SnapshotImage { index, term, time, membership, state };
         let hard_state = self.core.hard_state();
         let batch = LogBatch { hard_state: Some(hard_state), ..LogBatch::default() };
-        self.store.replace(&image, &batch).map_err(|error| error.to_string())?;
+        self.store.install_snapshot(&image, &batch).map_err(|error| error.to_string())?;
         let restored = RestoredState { hard_state, image: Some(image), entries: Vec::new() };
         self.core = Consensus::new(self.settings.identity, self.settings.core.clone(), restored);
         self.applied = index;
-        info!(self.settings.logger, "group of replicas formed");
+        info!(self.settings.logger, "new set of replicas bootstrapped");
         Ok(())
     }
 
-    pub(super) fn install(&mut self, image: &SnapshotImage) {
+    pub(super) fn install_snapshot(&mut self, image: &SnapshotImage) {
         match decode_state(Some(image)) {
             Ok(state) => {
                 self.state = state;
@@ -52,12 +54,13 @@
                 info!(self.settings.logger, "snapshot installed"; "index" => image.index.0);
             }
             Err(error) => {
-                error!(self.settings.logger, "snapshot not usable"; "error" => %error);
+                error!(self.settings.logger, "failed to decode a snapshot from the leader";
+                    "error" => %error);
             }
         }
     }
 
-    pub(super) fn make_snapshot(&mut self) {
+    pub(super) fn make_snapshot_if_due(&mut self) {
         let limit = SNAPSHOT_MIN_LOG_BYTES.max(2 * self.snapshot_bytes);
         if self.store.log_bytes() < limit {
             return;
@@ -67,17 +70,17 @@
         };
         self.snapshot_bytes = state.len() as u64;
         let hard_state = Some(self.core.hard_state());
-        let Some(image) = self.core.compact(self.applied, state, TAIL_ENTRIES).cloned() else {
+        let Some(image) = self.core.compact(self.applied, state, RETAINED_ENTRIES).cloned() else {
             return;
         };
         let newer = self.core.entries().iter().filter(|entry| entry.index > image.index);
         let entries = newer.cloned().collect();
         let batch = LogBatch { hard_state, truncate_from: None, entries };
-        match self.store.replace(&image, &batch) {
+        match self.store.install_snapshot(&image, &batch) {
             Ok(()) => self.settings.counters.count("snapshot-made"),
             Err(error) => {
                 self.settings.counters.count("snapshot-failed");
-                warn!(self.settings.logger, "snapshot not written"; "error" => %error);
+                warn!(self.settings.logger, "failed to write a snapshot"; "error" => %error);
             }
         }
     }
@@ -87,7 +90,7 @@
     Ok(postcard::to_stdvec(state)?.into())
 }
 
-/// Reads the state machine from a snapshot; without one it is empty.
+/// Decodes the state machine from a snapshot. Returns an empty one if there is no snapshot.
 pub(super) fn decode_state(image: Option<&SnapshotImage>) -> Result<ClusterState, StoreError> {
     let Some(image) = image else {
         return Ok(ClusterState::default());
--- a/crates/replica/src/entry_watch.rs
+++ b/crates/replica/src/entry_leases.rs
@@ -1,4 +1,4 @@
-//! The leader's watch over entries: who was heard of when, and at which view.
+//! Leases of entries, tracked by the leader.
 
 use std::{
     collections::BTreeMap,
@@ -6,41 +6,41 @@
 };
 use types::{ClusterView, Command, EntryInfo, EntryName, ViewVersion};
 
-/// How long an entry may be silent before it loses its registration and its ranges.
+/// How long an entry keeps its registration and its ranges without contact.
 pub(crate) const ENTRY_LEASE: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone)]
-struct EntrySighting {
-    seen: Instant,
+struct EntryContact {
+    last_seen: Instant,
     version: ViewVersion,
 }
 
-/// When each entry was last heard of. Kept by the leader only, and not replicated.
+/// Last contact with each entry. Kept by the leader only, and not replicated.
 #[derive(Debug)]
-pub(crate) struct EntryWatch {
-    since: Instant,
-    sightings: BTreeMap<EntryName, EntrySighting>,
+pub(crate) struct EntryLeases {
+    started: Instant,
+    contacts: BTreeMap<EntryName, EntryContact>,
 }
 
-impl EntryWatch {
-    /// Starts a watch that gives every entry a whole lease.
+impl EntryLeases {
+    /// Creates a table that grants every entry a full lease from `now`.
     pub(crate) fn new(now: Instant) -> Self {
-        Self { since: now, sightings: BTreeMap::new() }
+        Self { started: now, contacts: BTreeMap::new() }
     }
 
-    /// Notes a request of an entry.
+    /// Renews an entry's lease and records the version of its view.
     pub(crate) fn observe(&mut self, entry: &EntryName, version: ViewVersion, now: Instant) {
-        self.sightings.insert(entry.clone(), EntrySighting { seen: now, version });
+        self.contacts.insert(entry.clone(), EntryContact { last_seen: now, version });
     }
 
-    /// Returns the view version and silence of an entry.
-    pub(crate) fn sighting(
+    /// Returns an entry's view version and the time started the last contact with it.
+    pub(crate) fn last_contact(
         &self,
         entry: &EntryName,
         now: Instant,
     ) -> Option<(ViewVersion, Duration)> {
-        let sighting = self.sightings.get(entry)?;
-        Some((sighting.version, now.saturating_duration_since(sighting.seen)))
+        let contact = self.contacts.get(entry)?;
+        Some((contact.version, now.saturating_duration_since(contact.last_seen)))
     }
 
     /// Returns the commands that register a new or changed entry.
@@ -57,12 +57,13 @@
         commands
     }
 
-    /// Returns the commands that remove the entries whose lease has run out.
+    /// Returns the commands that remove entries with an expired lease.
     pub(crate) fn expirations(&self, view: &ClusterView, now: Instant) -> Vec<Command> {
         let is_silent = |entry: &&EntryInfo| {
-            let seen =
-                self.sightings.get(&entry.name).map_or(self.since, |s| s.seen.max(self.since));
-            now.saturating_duration_since(seen) > ENTRY_LEASE
+            let contact = self.contacts.get(&entry.name);
+            let last_seen =
+                contact.map_or(self.started, |contact| contact.last_seen.max(self.started));
+            now.saturating_duration_since(last_seen) > ENTRY_LEASE
         };
         let mut commands: Vec<Command> = view
             .entries()
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -1,4 +1,4 @@
-//! How the other parts of the process talk to its replica.
+//! Handle through which other parts of the process send requests to the replica.
 
 use crate::{ReplicaStatus, driver::ReplicaInput};
 use consensus::{Member, MembershipChange};
@@ -23,64 +23,72 @@
 }
 
 impl ReplicaHandle {
-    /// Decides a command, if this replica leads.
+    /// Proposes a command and waits until it is applied. Only the leader accepts commands.
     pub async fn submit(&self, command: Command) -> SubmitAnswer {
-        self.ask(|reply| ReplicaInput::Submit(command, reply))
+        self.call(|reply| ReplicaInput::Submit(command, reply))
             .await
             .unwrap_or(SubmitAnswer::Unknown)
     }
 
-    /// Changes the set of replicas, if this replica leads.
+    /// Proposes a membership change. Only the leader accepts changes.
     pub async fn change_membership(&self, change: MembershipChange) -> SubmitAnswer {
-        let answer = self.ask(|reply| ReplicaInput::ChangeMembership(change, reply)).await;
+        let answer = self.call(|reply| ReplicaInput::ChangeMembership(change, reply)).await;
         answer.unwrap_or(SubmitAnswer::Unknown)
     }
 
-    /// Confirms the view of an entry, if this replica leads.
+    /// Confirms that an entry's view is current, or returns the missing changes.
+    ///
+    /// The leader serves all requests; a follower serves those with `may_relay` set.
     pub async fn freshness(&self, request: FreshnessRequest) -> FreshnessAnswer {
-        let answer = self.ask(|reply| ReplicaInput::Freshness(request, reply)).await;
+        let answer = self.call(|reply| ReplicaInput::Freshness(request, reply)).await;
         answer.unwrap_or(FreshnessAnswer::NotLeader(None))
     }
 
-    /// Forms a new group of replicas. Refused unless the data folder is empty.
+    /// Forms a new set of replicas. Succeeds without effect if this replica already has the same
+    /// members.
+    ///
+    /// # Errors
+    ///
+    /// Returns a reason if the data folder belongs to a different set, if this replica is not among
+    /// `members`, or if the disk write fails.
     pub async fn bootstrap(&self, members: Vec<Member>) -> Result<(), String> {
-        let answer = self.ask(|reply| ReplicaInput::Bootstrap(members, reply)).await;
+        let answer = self.call(|reply| ReplicaInput::Bootstrap(members, reply)).await;
         answer.unwrap_or_else(|stopped| Err(stopped.to_string()))
     }
 
-    /// Returns the replica's account of itself.
+    /// Returns the replica's status.
     pub async fn status(&self) -> Result<ReplicaStatus, ReplicaStopped> {
-        self.ask(ReplicaInput::Status).await
+        self.call(ReplicaInput::Status).await
     }
 
-    /// Returns the view as of the last applied entry. It may be old.
+    /// Returns the view as of the last applied log entry, which may be stale.
     pub fn view(&self) -> Arc<ClusterView> {
         self.view.read().clone()
     }
 
-    /// Returns the text of the routing document of a version, if that is the last applied one.
+    /// Returns the source text of the routing document if `version` is the last applied one.
     pub fn routing_source(&self, version: RoutingVersion) -> Option<SourceText> {
-        // The view changes while the text is locked, so that both belong together.
+        // Writers update the view while they hold the lock on the text, so both are consistent.
         let source = self.routing_source.read();
         (self.view.read().routing_version() == version).then(|| source.clone())
     }
 
-    /// Hands leadership over, if this replica leads, and ends its thread.
+    /// Transfers leadership, if this replica is the leader, and stops its thread.
     pub async fn stop(&self) {
-        // A replica that has stopped already needs no stop.
-        let _ = self.ask(ReplicaInput::Stop).await;
+        // Fails only if the replica has already stopped.
+        let _ = self.call(ReplicaInput::Stop).await;
     }
 
-    /// Answers a peer's request that is meant for replicas. Returns `None` for all others.
+    /// Handles a peer's request. Returns `None` if the request is not addressed to replicas.
     pub async fn handle(&self, host: &HostName, request: PeerRequest) -> Option<PeerAnswer> {
         match request {
             PeerRequest::Consensus(message) => {
-                // Messages that a stopped or overloaded replica loses are sent again.
+                // Fails if the replica has stopped; consensus tolerates lost messages.
                 let _ = self.inputs.send(ReplicaInput::Message(message)).await;
                 Some(PeerAnswer::Done)
             }
             PeerRequest::ServersSeen(servers) => {
-                // What a stopped replica loses is reported again to its successor.
+                // Fails if the replica has stopped; the report is repeated to the next leader.
                 let _ = self.inputs.send(ReplicaInput::ServersSeen(servers)).await;
                 Some(PeerAnswer::Done)
             }
@@ -92,7 +100,7 @@
                 Some(PeerAnswer::Freshness(Box::new(self.freshness(request).await)))
             }
             PeerRequest::ReadIndex(request) => {
-                let index = self.ask(|reply| ReplicaInput::ReadIndex(request, reply)).await;
+                let index = self.call(|reply| ReplicaInput::ReadIndex(request, reply)).await;
                 Some(PeerAnswer::ReadIndex(index.unwrap_or(None)))
             }
             PeerRequest::Submit(command) => {
@@ -108,7 +116,8 @@
         }
     }
 
-    async fn ask<T>(
+    /// Sends an input to the replica thread and waits for the reply.
+    async fn call<T>(
         &self,
         input: impl FnOnce(oneshot::Sender<T>) -> ReplicaInput,
     ) -> Result<T, ReplicaStopped> {
@@ -118,7 +127,7 @@
     }
 }
 
-/// Refuses commands that a peer may not give.
+/// Rejects commands that the peer on `host` is not allowed to submit.
 fn check_sender(host: &HostName, command: &Command) -> Result<(), &'static str> {
     match command {
         Command::Claim(claim) if claim.entry.as_str() != host.as_str() => {
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,10 +1,11 @@
-//! The durable replicated state: consensus driven over a data folder and peer links.
+//! Replicated state machine: runs consensus with a data folder for storage and peer links as
+//! transport.
 
 mod codec;
 mod driver;
-mod entry_watch;
+mod entry_leases;
 mod handle;
-mod server_watch;
+mod server_leases;
 mod status;
 mod store;
 
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -1,54 +1,54 @@
-//! What operators see of a replica.
+//! Replica status for operators.
 
 use consensus::{Member, ReplicaId};
 use serde::{Deserialize, Serialize};
 use types::{EntryInfo, ViewVersion};
 
-/// A replica's own account.
+/// Status of a replica, as reported by itself.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Identity bound to its disk.
+    /// Identity stored in the replica's data folder.
     pub id: ReplicaId,
-    /// It has a set of replicas; false on an empty disk.
+    /// Whether the replica has a membership; false with an empty data folder.
     pub is_initialised: bool,
-    /// It leads.
+    /// Whether the replica is the leader.
     pub is_leader: bool,
-    /// The disk refuses writes, so the replica takes no part.
+    /// Whether writes to the disk fail, in which case the replica rejects all requests.
     pub is_stalled: bool,
     /// Current term.
     pub term: u64,
-    /// Last committed index.
+    /// Index of the last committed log entry.
     pub commit: u64,
-    /// The leader, as far as known.
+    /// The leader, if known.
     pub leader: Option<ReplicaId>,
-    /// All replicas as far as known; lag is known to the leader only.
+    /// All known replicas. Only the leader reports their lag.
     pub members: Vec<MemberStatus>,
     /// Version of the view.
     pub view: ViewVersion,
-    /// Claims remembered.
+    /// Number of retained claims.
     pub claims: usize,
-    /// All entries; ages are known to the leader only.
+    /// All registered entries. Only the leader reports their views and ages.
     pub entries: Vec<EntryStatus>,
 }
 
-/// One member as the leader sees it.
+/// Status of a member, as tracked by the leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Identity and address.
+    /// Identity, address and role of the member.
     pub member: Member,
-    /// Entries that it lacks.
+    /// Number of log entries that the member has not acknowledged.
     pub lag: Option<u64>,
-    /// It answered lately.
+    /// Whether the member has answered recently.
     pub is_active: Option<bool>,
 }
 
-/// One entry as the leader sees it.
+/// Status of an entry, as tracked by the leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// Identity and addresses.
+    /// Identity and addresses of the entry.
     pub info: EntryInfo,
-    /// Version of its view.
+    /// Version of the entry's view.
     pub view: Option<ViewVersion>,
-    /// Time since it was last heard of, in milliseconds.
+    /// Time since the last contact with the entry, in milliseconds.
     pub age_ms: Option<u64>,
 }
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -1,8 +1,8 @@
-//! The files of a replica: one log and one snapshot under one data folder.
+//! Persistent storage of a replica: a log file and a snapshot file in a data folder.
 //!
-//! The log's first record holds the identity drawn when the folder was empty, so that a replica
-//! whose disk was lost is another replica. A batch is one record and is synced before anything
-//! that depends on it leaves; so only the last record can be torn.
+//! The first record of the log holds the identity assigned when the folder was empty, so a replica
+//! that loses its disk comes back as a different replica. Each batch is one record. It is synced
+//! before any message that depends on it is sent, so only the last record can be torn.
 
 use crate::codec::{encode_record, find_record, has_record_after};
 use consensus::{HardState, LogEntry, LogIndex, ReplicaId, RestoredState, SnapshotImage};
@@ -18,10 +18,13 @@
 const SNAPSHOT_NAME: &str = "snapshot";
 const LOCK_NAME: &str = "lock";
 
-/// Says why a data folder cannot be used.
+/// Reason given for a record that cannot be read.
+const INVALID_RECORD: &str = "the magic number, the length or the checksum is wrong";
+
+/// Errors of the data folder.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// A file cannot be read, written or synced; trying again may help.
+    /// A file cannot be read, written or synced. A retry may succeed.
     #[error("{path}: {source}")]
     File {
         /// The file.
@@ -29,14 +32,15 @@
         /// The system's error.
         source: io::Error,
     },
-    /// A file is damaged before its end.
+    /// A file is damaged, other than by a torn last record of the log, or does not match the other
+    /// files of the folder.
     #[error("{path}: damaged at offset {offset}: {reason}")]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where, in bytes.
+        /// Offset at which the damage was found, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Description of the damage.
         reason: String,
     },
     /// Another process uses the folder.
@@ -47,12 +51,12 @@
     },
 }
 
-/// What is made durable in one step.
+/// Changes that are written to the log as one record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogBatch {
-    /// New term or vote.
+    /// New term and vote, if changed.
     pub hard_state: Option<HardState>,
-    /// Entries from here on are dropped first.
+    /// Existing entries from this index on are removed before appending.
     pub truncate_from: Option<LogIndex>,
     /// Entries to append.
     pub entries: Vec<LogEntry>,
@@ -61,7 +65,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct LogHeader {
     identity: ReplicaId,
-    /// The snapshot on which the log builds; 0 if none.
+    /// Index of the snapshot that the log follows; 0 if there is none.
     base: LogIndex,
 }
 
@@ -71,26 +75,31 @@
     image: SnapshotImage,
 }
 
-/// Keeps what a replica must not lose.
+/// Durable storage of a replica's log and snapshot.
 pub trait ReplicaStore: Send {
-    /// Makes a batch durable. On failure nothing of it remains, and it may be tried again.
+    /// Appends a batch to the log and syncs it. On failure no part of the batch is kept, and the
+    /// call may be retried.
     fn append(&mut self, batch: &LogBatch) -> Result<(), StoreError>;
 
-    /// Puts a snapshot in place of the log up to its end, and keeps `batch` after it.
-    fn replace(&mut self, image: &SnapshotImage, batch: &LogBatch) -> Result<(), StoreError>;
+    /// Stores a snapshot and replaces the log with `batch`, which holds the entries after it.
+    fn install_snapshot(
+        &mut self,
+        image: &SnapshotImage,
+        batch: &LogBatch,
+    ) -> Result<(), StoreError>;
 
     /// Returns the size of the log in bytes.
     fn log_bytes(&self) -> u64;
 }
 
-/// The file operations that the log needs; a trait so that tests can fill the disk.
+/// File operations of the log. A trait, so that tests can simulate a full disk.
 pub trait LogFile: Send {
-    /// Writes at the end.
+    /// Writes at the end of the file.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
     /// Makes all written bytes durable.
     fn sync(&mut self) -> io::Result<()>;
-    /// Cuts the file to a length in bytes.
-    fn cut(&mut self, length: u64) -> io::Result<()>;
+    /// Truncates the file to a length in bytes.
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
 }
 
 impl LogFile for File {
@@ -103,12 +112,12 @@
         self.sync_data()
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.set_len(length)
     }
 }
 
-/// The store of a data folder.
+/// Store backed by files in a data folder.
 pub struct FileStore {
     folder: PathBuf,
     identity: ReplicaId,
@@ -118,7 +127,12 @@
 }
 
 impl FileStore {
-    /// Opens a data folder. An empty one gets `new_identity`.
+    /// Opens and locks a data folder, and restores its content. An empty folder is initialised with
+    /// `new_identity`; any other keeps its identity.
+    ///
+    /// # Errors
+    ///
+    /// Fails if another process uses the folder, or if a file cannot be accessed or is damaged.
     pub fn open(
         folder: &Path,
         new_identity: ReplicaId,
@@ -129,7 +143,7 @@
         if !log_path.exists() {
             let snapshot_path = folder.join(SNAPSHOT_NAME);
             if snapshot_path.exists() {
-                return Err(damaged(&snapshot_path, 0, "there is a snapshot, but no log"));
+                return Err(damaged(&snapshot_path, 0, "there is a snapshot, but no log file"));
             }
             let header = LogHeader { identity: new_identity, base: LogIndex(0) };
             write_atomically(&log_path, &encode_record(&encode(&log_path, &header)?))?;
@@ -148,14 +162,14 @@
         Ok((store, restored))
     }
 
-    /// Returns the identity bound to the folder.
+    /// Returns the identity stored in the folder.
     pub fn identity(&self) -> ReplicaId {
         self.identity
     }
 
-    /// Puts another file in place of the log, for tests of a failing disk.
+    /// Wraps the log file, so that tests can inject disk failures.
     pub fn wrap_log(&mut self, wrap: impl FnOnce(Box<dyn LogFile>) -> Box<dyn LogFile>) {
-        let empty: Box<dyn LogFile> = Box::new(ClosedFile);
+        let empty: Box<dyn LogFile> = Box::new(PlaceholderFile);
         let log = std::mem::replace(&mut self.log, empty);
         self.log = wrap(log);
     }
@@ -184,14 +198,18 @@
         let record = encode_record(&encode(&path, batch)?);
         let written = self.log.append(&record).and_then(|()| self.log.sync());
         if let Err(source) = written {
-            self.log.cut(self.log_bytes).map_err(file_error(&path))?;
+            self.log.truncate(self.log_bytes).map_err(file_error(&path))?;
             return Err(StoreError::File { path, source });
         }
         self.log_bytes += record.len() as u64;
         Ok(())
     }
 
-    fn replace(&mut self, image: &SnapshotImage, batch: &LogBatch) -> Result<(), StoreError> {
+    fn install_snapshot(
+        &mut self,
+        image: &SnapshotImage,
+        batch: &LogBatch,
+    ) -> Result<(), StoreError> {
         self.write_snapshot(image)?;
         self.rewrite_log(image.index, batch)
     }
@@ -201,10 +219,10 @@
     }
 }
 
-/// Stands in while the log file is being wrapped.
-struct ClosedFile;
+/// Placeholder while the log file is being wrapped.
+struct PlaceholderFile;
 
-impl LogFile for ClosedFile {
+impl LogFile for PlaceholderFile {
     fn append(&mut self, _bytes: &[u8]) -> io::Result<()> {
         Err(io::ErrorKind::NotConnected.into())
     }
@@ -213,7 +231,7 @@
         Err(io::ErrorKind::NotConnected.into())
     }
 
-    fn cut(&mut self, _length: u64) -> io::Result<()> {
+    fn truncate(&mut self, _length: u64) -> io::Result<()> {
         Err(io::ErrorKind::NotConnected.into())
     }
 }
@@ -224,7 +242,7 @@
     length: u64,
 }
 
-/// Reads all records; cuts a torn last one off.
+/// Reads all records and truncates a torn last one.
 fn scan_log(path: &Path) -> Result<LogScan, StoreError> {
     let bytes = fs::read(path).map_err(file_error(path))?;
     let mut header = None;
@@ -233,9 +251,9 @@
     while offset < bytes.len() {
         let Some(body) = find_record(&bytes, offset) else {
             if header.is_none() || has_record_after(&bytes, offset) {
-                return Err(damaged(path, offset, "the checksum does not match"));
+                return Err(damaged(path, offset, INVALID_RECORD));
             }
-            cut_file(path, offset as u64)?;
+            truncate_file(path, offset as u64)?;
             break;
         };
         let end = body.end;
@@ -246,11 +264,11 @@
         }
         offset = end;
     }
-    let header = header.ok_or_else(|| damaged(path, 0, "the log is empty"))?;
+    let header = header.ok_or_else(|| damaged(path, 0, "the log file is empty"))?;
     Ok(LogScan { header, batches, length: offset as u64 })
 }
 
-/// Carries out the batches of a log.
+/// Rebuilds the hard state and the entries from the batches of a log.
 fn replay(path: &Path, scan: &LogScan) -> Result<RestoredState, StoreError> {
     let mut restored = RestoredState::default();
     for batch in &scan.batches {
@@ -265,7 +283,7 @@
     let mut expected = scan.header.base.next();
     for entry in &restored.entries {
         if entry.index != expected {
-            let reason = format!("index {} stands where {expected} belongs", entry.index);
+            let reason = format!("found log index {}, expected {expected}", entry.index);
             return Err(damaged(path, scan.length as usize, &reason));
         }
         expected = expected.next();
@@ -276,19 +294,18 @@
 fn load_snapshot(path: &Path, header: &LogHeader) -> Result<Option<SnapshotImage>, StoreError> {
     if !path.exists() {
         if header.base > LogIndex(0) {
-            return Err(damaged(path, 0, "the snapshot on which the log builds is missing"));
+            return Err(damaged(path, 0, "the snapshot that precedes the log is missing"));
         }
         return Ok(None);
     }
     let bytes = fs::read(path).map_err(file_error(path))?;
-    let body =
-        find_record(&bytes, 0).ok_or_else(|| damaged(path, 0, "the checksum does not match"))?;
+    let body = find_record(&bytes, 0).ok_or_else(|| damaged(path, 0, INVALID_RECORD))?;
     let record: SnapshotRecord = decode(path, 0, &bytes[body])?;
     if record.identity != header.identity {
         return Err(damaged(path, 0, "the snapshot belongs to another replica"));
     }
     if record.image.index < header.base {
-        return Err(damaged(path, 0, "the snapshot is older than the log"));
+        return Err(damaged(path, 0, "the snapshot is older than the base of the log"));
     }
     Ok(Some(record.image))
 }
@@ -297,7 +314,7 @@
     OpenOptions::new().read(true).write(true).open(path).map_err(file_error(path))
 }
 
-fn cut_file(path: &Path, length: u64) -> Result<(), StoreError> {
+fn truncate_file(path: &Path, length: u64) -> Result<(), StoreError> {
     let file = open_log(path)?;
     file.set_len(length).and_then(|()| file.sync_all()).map_err(file_error(path))
 }
@@ -309,7 +326,7 @@
     Ok(lock)
 }
 
-/// Writes a file so that after a crash either the old or the new one is there.
+/// Replaces a file atomically: after a crash it has either the old or the new content.
 fn write_atomically(path: &Path, bytes: &[u8]) -> Result<(), StoreError> {
     let temporary = path.with_extension("tmp");
     let write = || -> io::Result<()> {
--- a/crates/replica/tests/driver.rs
+++ b/crates/replica/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The replica's thread: freshness through cuts, a disk that refuses, restarts after many changes.
+//! Replica thread: freshness during network partitions, disk write failures, and restarts.
 
 use async_trait::async_trait;
 use consensus::{CoreSettings, Member, MemberRole, ReplicaId, RestoredState};
@@ -28,7 +28,7 @@
 };
 use uuid::Uuid;
 
-/// Requests in these tests wait for as long as an election takes.
+/// Longer than any election in these tests, so that requests wait until there is a leader.
 const LONG_WAIT: Duration = Duration::from_secs(60);
 
 struct Handler(ReplicaHandle);
@@ -133,12 +133,13 @@
         panic!("no leader");
     }
 
-    fn isolate(&self, lone: usize) {
+    /// Cuts the links between one node and all others, in both directions.
+    fn isolate(&self, isolated: usize) {
         for (index, node) in self.nodes.iter().enumerate() {
-            if index == lone {
+            if index == isolated {
                 (0..self.nodes.len() as u64).for_each(|n| node.switch.cut(address(n + 1)));
             } else {
-                node.switch.cut(address(lone as u64 + 1));
+                node.switch.cut(address(isolated as u64 + 1));
             }
         }
     }
@@ -181,14 +182,16 @@
     *answer == SubmitAnswer::Applied(CommandAnswer::Change(accepted))
 }
 
+/// Guards against stale reads and lost changes: a partitioned leader still believes that it leads,
+/// but must neither confirm a view nor accept a change without a quorum.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_off_leader_renews_no_view_and_accepts_no_change() {
+async fn partitioned_leader_confirms_no_view_and_accepts_no_change() {
     let cluster = Cluster::start(3).await;
     let old = cluster.leader().await;
     let granted = cluster.nodes[old].handle.freshness(freshness_request()).await;
     assert!(matches!(granted, FreshnessAnswer::Granted(_)), "{granted:?}");
     cluster.isolate(old);
-    // Asked at the moment of the cut, while it believes to lead.
+    // Sent right after the partition, while the old leader still believes that it leads.
     let (view, change) = tokio::join!(
         cluster.nodes[old].handle.freshness(freshness_request()),
         cluster.nodes[old].handle.submit(drain(1, 0)),
@@ -207,10 +210,10 @@
     assert_eq!(status.commit, cluster.nodes[new].handle.status().await.expect("runs").commit);
 }
 
-/// Found on days that end with a loss of power everywhere: entries that asked before there was a
-/// leader were sent away, and came back up to 200 ms after it was elected.
+/// Guards against slow recovery after a power loss on all hosts: entries whose requests came
+/// before a leader was elected were rejected, and retried up to 200 ms after the election.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_that_comes_before_there_is_a_leader_is_answered_once_there_is() {
+async fn request_before_the_election_is_answered_once_there_is_a_leader() {
     let cluster = Cluster::start(3).await;
     let ask = |index: usize| cluster.nodes[index].handle.freshness(freshness_request());
     let answers = <[FreshnessAnswer; 3]>::from(tokio::join!(ask(0), ask(1), ask(2)));
@@ -228,8 +231,10 @@
     }
 }
 
+/// Guards against stale follower reads: a follower may lag behind the leader, but must have applied
+/// every change that was committed before the request.
 #[tokio::test(flavor = "multi_thread")]
-async fn followers_serve_entries_with_all_that_was_committed_before() {
+async fn followers_serve_views_with_all_changes_committed_before() {
     let cluster = Cluster::start(3).await;
     let leader = cluster.leader().await;
     let request = FreshnessRequest { may_relay: true, ..freshness_request() };
@@ -239,18 +244,18 @@
         let follower = (leader + 1 + number as usize % 2) % 3;
         let grant = granted(cluster.nodes[follower].handle.freshness(request.clone()).await);
         let Ok(ViewUpdate::Whole(view)) = grant.update.unpack() else {
-            panic!("an entry that holds nothing gets the whole view");
+            panic!("an entry without a view gets the whole view");
         };
         let version = view.drain_version(&"d".parse().expect("valid"));
-        assert_eq!(version, DocumentVersion(number as u64 + 1), "an older view from a follower");
+        assert_eq!(version, DocumentVersion(number as u64 + 1), "stale view from a follower");
     }
     let status = cluster.nodes[leader].handle.status().await.expect("runs");
     let ages: Vec<_> = status.entries.iter().map(|entry| entry.age_ms).collect();
-    assert!(matches!(ages[..], [Some(_)]), "the leader watches entries that followers serve");
+    assert!(matches!(ages[..], [Some(_)]), "the leader tracks entries that followers serve");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entry_that_knows_the_replicas_is_not_told_them_again() {
+async fn grant_omits_replica_addresses_that_the_entry_already_knows() {
     let cluster = Cluster::start(3).await;
     let leader = &cluster.nodes[cluster.leader().await].handle;
     let first = granted(leader.freshness(freshness_request()).await);
@@ -263,8 +268,10 @@
     assert_eq!(granted(leader.freshness(request).await).replicas.len(), 3);
 }
 
+/// Guards against reports from processes that are not members: these must neither get a read index
+/// nor register entries.
 #[tokio::test(flavor = "multi_thread")]
-async fn process_that_is_no_replica_gets_no_read_index() {
+async fn non_member_gets_no_read_index() {
     let cluster = Cluster::start(3).await;
     let leader = &cluster.nodes[cluster.leader().await].handle;
     let FreshnessRequest { entry, .. } = freshness_request();
@@ -275,15 +282,18 @@
     let answer = leader.handle(&host(9), request(ReplicaId(999))).await;
     assert!(matches!(answer, Some(PeerAnswer::ReadIndex(None))), "{answer:?}");
     let status = leader.status().await.expect("runs");
-    assert!(status.entries.is_empty(), "a stranger registers no entry");
-    // Replicas that formed the set from seeds know each other by address, not by host name.
+    assert!(status.entries.is_empty(), "a non-member registers no entry");
+    // Members are recognised by id: replicas that formed the set from seed addresses know each
+    // other by address, not by host name.
     let member = cluster.nodes[0].identity;
     let answer = leader.handle(&host(9), request(member)).await;
     assert!(matches!(answer, Some(PeerAnswer::ReadIndex(Some(_)))), "{answer:?}");
 }
 
+/// Guards against stale follower reads during a partition, when the follower cannot learn what was
+/// committed.
 #[tokio::test(flavor = "multi_thread")]
-async fn follower_that_is_cut_off_serves_no_entry() {
+async fn partitioned_follower_serves_no_entry() {
     let cluster = Cluster::start(3).await;
     let leader = cluster.leader().await;
     let follower = (leader + 1) % 3;
@@ -294,7 +304,7 @@
     let answer = tokio::time::timeout(Duration::from_secs(5), asked).await;
     assert!(
         !matches!(answer, Ok(FreshnessAnswer::Granted(_))),
-        "a follower without its leader cannot know what was committed"
+        "a follower without its leader cannot learn what was committed"
     );
     cluster.nodes.iter().for_each(|node| node.switch.heal());
 }
@@ -321,13 +331,13 @@
         self.inner.append(batch)
     }
 
-    fn replace(
+    fn install_snapshot(
         &mut self,
         image: &consensus::SnapshotImage,
         batch: &LogBatch,
     ) -> Result<(), StoreError> {
         self.check()?;
-        self.inner.replace(image, batch)
+        self.inner.install_snapshot(image, batch)
     }
 
     fn log_bytes(&self) -> u64 {
@@ -335,8 +345,10 @@
     }
 }
 
+/// Guards against a replica that exits or stays stalled after a full disk: it must reject requests
+/// while writes fail, and serve them again afterwards.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replica_with_a_full_disk_refuses_stays_alive_and_recovers() {
+async fn replica_with_a_full_disk_rejects_requests_and_recovers() {
     let net = MemoryNet::default();
     let folder = tempdir().expect("folder");
     let (store, restored) = open(folder.path(), 1);
@@ -349,7 +361,7 @@
     let handle = cluster.nodes[cluster.leader().await].handle.clone();
     assert!(is_accepted(&handle.submit(drain(1, 0)).await, 1));
     is_full.store(true, Ordering::SeqCst);
-    // The first finds the disk full after it was taken; its fate is not known.
+    // The first command is already proposed when the write fails, so its outcome is unknown.
     assert_eq!(handle.submit(drain(2, 1)).await, SubmitAnswer::Unknown);
     assert!(matches!(handle.submit(drain(3, 1)).await, SubmitAnswer::Refused(_)));
     let view = handle.freshness(freshness_request()).await;
@@ -364,7 +376,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restart_after_a_thousand_changes_forgets_none() {
+async fn restart_after_a_thousand_changes_loses_none() {
     let mut cluster = Cluster::start(1).await;
     let handle = cluster.nodes[cluster.leader().await].handle.clone();
     for number in 0..1_000 {
@@ -378,7 +390,7 @@
     let folder = cluster.folders[0].path().to_owned();
     let started = Instant::now();
     let (store, restored) = loop {
-        // The thread of the stopped replica closes its files a moment after its answer.
+        // The thread of the stopped replica closes its files shortly after it replies.
         match FileStore::open(&folder, ReplicaId(9)) {
             Ok(opened) => break opened,
             Err(StoreError::InUse { .. }) if started.elapsed() < Duration::from_secs(20) => {
@@ -388,7 +400,7 @@
         }
     };
     let identity = store.identity();
-    assert_eq!(identity, ReplicaId(1), "the identity of the disk");
+    assert_eq!(identity, ReplicaId(1), "the identity stored in the folder");
     cluster.nodes.push(start(&cluster.net, 1, Box::new(store), identity, restored));
     let handle = cluster.nodes[cluster.leader().await].handle.clone();
     for number in [0, 499, 999] {
--- a/crates/replica/tests/store.rs
+++ b/crates/replica/tests/store.rs
@@ -1,4 +1,4 @@
-//! The data folder: restart, torn tail, damage, full disk, identity.
+//! Data folder: restarts, torn writes, corruption, full disk and identity.
 
 use consensus::{
     HardState, LogEntry, LogIndex, LogPayload, Membership, ReplicaId, RestoredState, SnapshotImage,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn all_that_was_acknowledged_is_there_after_a_restart() {
+fn acknowledged_batches_survive_a_restart() {
     let folder = tempdir().expect("folder");
     let (mut store, _) = open(folder.path()).expect("opens");
     let hard_state = HardState { term: Term(4), voted_for: Some(ReplicaId(2)) };
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_identity_is_bound_to_the_folder() {
+fn identity_is_stored_in_the_folder() {
     let folder = tempdir().expect("folder");
     drop(open(folder.path()).expect("opens"));
     let (store, _) = FileStore::open(folder.path(), ReplicaId(8)).expect("opens");
@@ -70,21 +70,23 @@
     drop(store);
     fs::remove_dir_all(folder.path()).expect("lost");
     let (store, restored) = FileStore::open(folder.path(), ReplicaId(8)).expect("opens");
-    assert_eq!(store.identity(), ReplicaId(8), "a lost disk is another replica");
+    assert_eq!(store.identity(), ReplicaId(8), "a replica that lost its disk gets a new identity");
     assert!(restored.entries.is_empty() && restored.image.is_none());
 }
 
+/// A crash during an append can leave any prefix of the last record. The next open must remove it
+/// and keep all complete records.
 #[test]
-fn a_torn_tail_is_cut_at_every_length() {
+fn torn_last_record_of_any_length_is_truncated() {
     let folder = tempdir().expect("folder");
     let log = folder.path().join("log");
     let (mut store, _) = open(folder.path()).expect("opens");
     store.append(&batch(1..=3)).expect("appends");
-    let whole = fs::metadata(&log).expect("log").len();
+    let complete_length = fs::metadata(&log).expect("log").len();
     store.append(&batch(4..=6)).expect("appends");
     drop(store);
     let bytes = fs::read(&log).expect("log");
-    for length in whole as usize..bytes.len() {
+    for length in complete_length as usize..bytes.len() {
         fs::write(&log, &bytes[..length]).expect("torn");
         let (mut store, restored) = open(folder.path()).expect("opens");
         assert_eq!(last_index(&restored), 3, "length {length}");
@@ -95,8 +97,10 @@
     }
 }
 
+/// Guards against silent loss of acknowledged entries: damage before the last record must be an
+/// error with file and offset, not treated as a torn write.
 #[test]
-fn damage_before_the_tail_stops_the_replica_with_file_and_offset() {
+fn damage_before_the_last_record_is_reported_with_file_and_offset() {
     let folder = tempdir().expect("folder");
     let log = folder.path().join("log");
     let (mut store, _) = open(folder.path()).expect("opens");
@@ -106,28 +110,28 @@
     store.append(&batch(4..=6)).expect("appends");
     drop(store);
     let bytes = fs::read(&log).expect("log");
-    for place in 0..first_end {
+    for position in 0..first_end {
         let mut damaged = bytes.clone();
-        damaged[place] ^= 0x20;
+        damaged[position] ^= 0x20;
         fs::write(&log, &damaged).expect("damaged");
-        let expected = if place < header { 0 } else { header as u64 };
+        let expected = if position < header { 0 } else { header as u64 };
         match open(folder.path()).map(|_| ()) {
             Err(StoreError::Damaged { path, offset, .. }) => {
-                assert_eq!((path, offset), (log.clone(), expected), "place {place}");
+                assert_eq!((path, offset), (log.clone(), expected), "position {position}");
             }
-            other => panic!("place {place}: {other:?}"),
+            other => panic!("position {position}: {other:?}"),
         }
-        assert_eq!(fs::read(&log).expect("log"), damaged, "nothing was changed");
+        assert_eq!(fs::read(&log).expect("log"), damaged, "the file is unchanged");
     }
 }
 
 #[test]
-fn a_snapshot_takes_the_place_of_the_log() {
+fn snapshot_replaces_the_log_before_it() {
     let folder = tempdir().expect("folder");
     let (mut store, _) = open(folder.path()).expect("opens");
     store.append(&batch(1..=10)).expect("appends");
     let before = store.log_bytes();
-    store.replace(&image(8), &batch(9..=10)).expect("replaces");
+    store.install_snapshot(&image(8), &batch(9..=10)).expect("replaces");
     assert!(store.log_bytes() < before);
     store.append(&batch(11..=11)).expect("appends");
     drop(store);
@@ -136,54 +140,56 @@
     assert_eq!(restored.entries.iter().map(|e| e.index.0).collect::<Vec<_>>(), [9, 10, 11]);
 }
 
+/// The snapshot is written before the log is replaced. A crash in between leaves the new snapshot
+/// with the old log.
 #[test]
-fn a_crash_between_snapshot_and_log_loses_nothing() {
+fn crash_between_snapshot_and_log_rewrite_loses_nothing() {
     let folder = tempdir().expect("folder");
     let log = folder.path().join("log");
     let (mut store, _) = open(folder.path()).expect("opens");
     store.append(&batch(1..=10)).expect("appends");
     let old_log = fs::read(&log).expect("log");
-    store.replace(&image(8), &batch(9..=10)).expect("replaces");
+    store.install_snapshot(&image(8), &batch(9..=10)).expect("replaces");
     drop(store);
-    fs::write(&log, &old_log).expect("the log was not replaced");
+    fs::write(&log, &old_log).expect("restores the old log");
     let (_, restored) = open(folder.path()).expect("opens");
     assert_eq!(restored.image, Some(image(8)));
     assert_eq!(last_index(&restored), 10);
 }
 
 #[test]
-fn parts_that_do_not_belong_together_are_refused() {
+fn mismatched_or_missing_files_are_reported() {
     let folder = tempdir().expect("folder");
     let other = tempdir().expect("folder");
     let snapshot = folder.path().join("snapshot");
     let (mut store, _) = open(folder.path()).expect("opens");
-    store.replace(&image(8), &batch(9..=10)).expect("replaces");
+    store.install_snapshot(&image(8), &batch(9..=10)).expect("replaces");
     drop(store);
     let (mut store, _) = FileStore::open(other.path(), ReplicaId(99)).expect("opens");
-    store.replace(&image(8), &batch(9..=10)).expect("replaces");
+    store.install_snapshot(&image(8), &batch(9..=10)).expect("replaces");
     drop(store);
     let own = fs::read(&snapshot).expect("snapshot");
-    let is_damaged = |reason: &str| match open(folder.path()).map(|_| ()) {
+    let assert_damaged = |reason: &str| match open(folder.path()).map(|_| ()) {
         Err(StoreError::Damaged { reason: found, .. }) => {
             assert!(found.contains(reason), "{found}");
         }
         other => panic!("{reason}: {other:?}"),
     };
     fs::copy(other.path().join("snapshot"), &snapshot).expect("copy");
-    is_damaged("another replica");
+    assert_damaged("another replica");
     fs::remove_file(&snapshot).expect("lost");
-    is_damaged("missing");
+    assert_damaged("missing");
     let mut flipped = own.clone();
     flipped[20] ^= 1;
     fs::write(&snapshot, flipped).expect("damaged");
-    is_damaged("checksum");
+    assert_damaged("checksum");
     fs::write(&snapshot, own).expect("restored");
     fs::remove_file(folder.path().join("log")).expect("lost");
-    is_damaged("no log");
+    assert_damaged("no log");
 }
 
 #[test]
-fn a_folder_is_used_by_one_process_at_a_time() {
+fn folder_is_locked_while_in_use() {
     let folder = tempdir().expect("folder");
     let (store, _) = open(folder.path()).expect("opens");
     assert!(matches!(open(folder.path()), Err(StoreError::InUse { .. })));
@@ -191,10 +197,11 @@
     assert!(open(folder.path()).is_ok());
 }
 
-/// Fails after writing half of what it is given, while it is full.
+/// A log file on a disk that can be full: writes then fail halfway, or the sync fails.
 struct FullDisk {
     inner: Box<dyn LogFile>,
     is_full: Arc<AtomicBool>,
+    /// Fail the sync instead of the write.
     fails_at_sync: bool,
 }
 
@@ -214,13 +221,13 @@
         self.inner.sync()
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
-        self.inner.cut(length)
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
+        self.inner.truncate(length)
     }
 }
 
 #[test]
-fn a_full_disk_refuses_and_recovers() {
+fn full_disk_fails_appends_until_space_is_free() {
     for fails_at_sync in [false, true] {
         let folder = tempdir().expect("folder");
         let is_full = Arc::new(AtomicBool::new(false));
