--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,13 +1,14 @@
-//! Errors of links.
+//! Link errors.
 
 use crate::KeyError;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Says why a message could not be exchanged.
+/// Reasons why a message exchange failed.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// The peer could not be reached, or its certificate was refused. Nothing was delivered.
+    /// No connection could be opened, the certificate was rejected, or the send queue is full. The
+    /// message was not delivered.
     #[error("{address}: not reached: {reason}")]
     NotReached {
         /// The peer.
@@ -15,37 +16,37 @@
         /// The reason.
         reason: String,
     },
-    /// The exchange broke off; the message may have been delivered.
+    /// The connection failed during the exchange. The message may have been delivered.
     #[error("{address}: broken off: {reason}")]
-    BrokenOff {
+    ConnectionLost {
         /// The peer.
         address: SocketAddr,
         /// The reason.
         reason: String,
     },
-    /// No answer in time; the message may have been delivered.
+    /// The answer did not arrive in time. The message may have been delivered.
     #[error("{address}: no answer within {timeout_ms} ms")]
     TimedOut {
         /// The peer.
         address: SocketAddr,
-        /// The time allowed, in milliseconds.
+        /// The timeout, in milliseconds.
         timeout_ms: u64,
     },
-    /// The bytes are not a valid message.
+    /// The bytes could not be encoded or decoded as a message.
     #[error("not a valid message: {0}")]
     Malformed(String),
-    /// The answer is not of the kind that belongs to the request.
+    /// The answer's type does not match the request.
     #[error("the answer does not belong to the request")]
     WrongAnswer,
     /// The local socket could not be opened.
     #[error("{address}: {reason}")]
     Bind {
-        /// The address.
+        /// The local address.
         address: SocketAddr,
         /// The reason.
         reason: String,
     },
-    /// The keys cannot be used.
+    /// The key files cannot be used.
     #[error(transparent)]
     Key(#[from] KeyError),
 }
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -1,4 +1,5 @@
-//! Key files: one authority for hosts, one for operators, and a key and certificate for each.
+//! Key files: a certificate authority for hosts, one for operators, and the keys and certificates
+//! that they issue.
 
 use rcgen::{
     BasicConstraints, CertificateParams, DistinguishedName, DnType, ExtendedKeyUsagePurpose, IsCa,
@@ -11,7 +12,7 @@
 use thiserror::Error;
 use time::{Duration, OffsetDateTime};
 
-/// Host authority, host certificate and key, and operator authority: file names in a key folder.
+// File names in a key folder. The authorities' private keys exist only in the operators' folder.
 const HOST_AUTHORITY: &str = "host-authority.pem";
 const HOST_AUTHORITY_KEY: &str = "host-authority.key";
 const OPERATOR_AUTHORITY: &str = "operator-authority.pem";
@@ -19,10 +20,10 @@
 const CERTIFICATE: &str = "certificate.pem";
 const PRIVATE_KEY: &str = "private.key";
 
-/// How long an authority is valid, in days.
+/// Validity of an authority's certificate in days.
 const AUTHORITY_DAYS: i64 = 3650;
 
-/// Says what is wrong with keys.
+/// Errors of key files.
 #[derive(Debug, Error)]
 pub enum KeyError {
     /// A file cannot be read or written.
@@ -33,7 +34,7 @@
         /// The system's error.
         source: io::Error,
     },
-    /// A file holds no usable key or certificate.
+    /// A file contains no usable key or certificate.
     #[error("{path}: {reason}")]
     Content {
         /// The file.
@@ -41,26 +42,26 @@
         /// The reason.
         reason: String,
     },
-    /// A key or certificate could not be made.
-    #[error("cannot make a certificate: {0}")]
-    Forge(#[from] rcgen::Error),
+    /// A key or certificate could not be generated.
+    #[error("cannot issue a certificate: {0}")]
+    Issue(#[from] rcgen::Error),
 }
 
-/// The files that one process or operator needs.
+/// Paths of the key files of a process or an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyFiles {
     /// Certificate of the host authority.
     pub host_authority: PathBuf,
     /// Certificate of the operator authority.
     pub operator_authority: PathBuf,
-    /// Own certificate.
+    /// Certificate of the process or operator.
     pub certificate: PathBuf,
-    /// Own private key.
+    /// Private key of the process or operator.
     pub private_key: PathBuf,
 }
 
 impl KeyFiles {
-    /// Returns the files of a key folder.
+    /// Returns the paths of the files in a key folder.
     pub fn in_folder(folder: &Path) -> Self {
         Self {
             host_authority: folder.join(HOST_AUTHORITY),
@@ -71,14 +72,18 @@
     }
 }
 
-/// Makes keys. The authorities' private keys stay in the operators' folder.
+/// Issues keys and certificates. The authorities' private keys stay in the operators' folder.
 #[derive(Debug)]
 pub struct KeyForge {
     folder: PathBuf,
 }
 
 impl KeyForge {
-    /// Opens the operators' folder; makes the two authorities if there are none.
+    /// Opens the operators' folder, and creates each of the two authorities if it is missing.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file cannot be written or a certificate cannot be generated.
     pub fn open(folder: &Path) -> Result<Self, KeyError> {
         create_folder(folder)?;
         let forge = Self { folder: folder.to_owned() };
@@ -91,7 +96,7 @@
         Ok(forge)
     }
 
-    /// Makes the key folder of a host, valid from now for a number of days.
+    /// Writes the key folder of a host to `target`. The certificate expires after `days`.
     pub fn issue_host(&self, host: &str, days: i64, target: &Path) -> Result<(), KeyError> {
         let mut params = leaf_params(host, days)?;
         params.extended_key_usages =
@@ -99,7 +104,7 @@
         self.issue(params, HOST_AUTHORITY, HOST_AUTHORITY_KEY, target)
     }
 
-    /// Makes the key folder of an operator, valid from now for a number of days.
+    /// Writes the key folder of an operator to `target`. The certificate expires after `days`.
     pub fn issue_operator(&self, name: &str, days: i64, target: &Path) -> Result<(), KeyError> {
         let mut params = leaf_params(name, days)?;
         params.extended_key_usages = vec![ExtendedKeyUsagePurpose::ClientAuth];
@@ -117,9 +122,9 @@
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
         params.distinguished_name = distinguished_name(name);
         set_validity(&mut params, AUTHORITY_DAYS);
-        let made = params.self_signed(&pair)?;
+        let issued = params.self_signed(&pair)?;
         write_secret(&key_path, &pair.serialize_pem())?;
-        write_file(&certificate_path, &made.pem())
+        write_file(&certificate_path, &issued.pem())
     }
 
     fn issue(
@@ -134,11 +139,11 @@
         let authority_pair = KeyPair::from_pem(&read_file(&key_path)?)?;
         let issuer = Issuer::from_ca_cert_pem(&authority_pem, &authority_pair)?;
         let pair = KeyPair::generate()?;
-        let made = params.signed_by(&pair, &issuer)?;
+        let issued = params.signed_by(&pair, &issuer)?;
         create_folder(target)?;
         let files = KeyFiles::in_folder(target);
         write_secret(&files.private_key, &pair.serialize_pem())?;
-        write_file(&files.certificate, &made.pem())?;
+        write_file(&files.certificate, &issued.pem())?;
         let copy = |name: &str, to: &Path| write_file(to, &read_file(&self.folder.join(name))?);
         copy(HOST_AUTHORITY, &files.host_authority)?;
         copy(OPERATOR_AUTHORITY, &files.operator_authority)
@@ -158,8 +163,8 @@
     distinguished
 }
 
-/// Makes a certificate valid for some days from now, and already for the last two, so that hosts
-/// with slow clocks accept it.
+/// Makes a certificate valid from two days ago, so that hosts with slow clocks accept it, until
+/// `days` from now.
 fn set_validity(params: &mut CertificateParams, days: i64) {
     let now = OffsetDateTime::now_utc();
     params.not_before = now - Duration::days(2);
@@ -182,7 +187,7 @@
     fs::write(path, text).map_err(file_error(path))
 }
 
-/// Writes a file that only its owner may read.
+/// Writes a file that is readable only by its owner.
 fn write_secret(path: &Path, text: &str) -> Result<(), KeyError> {
     use std::{io::Write, os::unix::fs::OpenOptionsExt};
     let mut options = fs::OpenOptions::new();
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,8 @@
-//! Links between the system's own processes: QUIC with mutual TLS, typed messages.
+//! Links between the system's own processes: typed messages over QUIC with mutual TLS, or over
+//! plain TCP on trusted networks.
 //!
-//! Parts use the [`PeerLink`] and [`PeerHandler`] traits, so that tests can cut a link without a
-//! network.
+//! Other crates use the [`PeerLink`] and [`PeerHandler`] traits, so that tests can simulate link
+//! failures without a network.
 
 mod error;
 mod frame;
@@ -24,6 +25,6 @@
 };
 pub use node::{LinkTraffic, PeerNode};
 pub use packing::PackedView;
-pub use reach::{ATTEMPT_PERIOD, reach};
+pub use reach::{ATTEMPT_PERIOD, connect_repeatedly};
 pub use stream_node::StreamNode;
 pub use tls::{TlsMaterial, operator_client_config, operator_server_config};
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,16 +1,16 @@
-//! The border between links and the parts that use them.
+//! Traits that separate the link implementations from their users.
 
 use crate::{PeerAnswer, PeerError, PeerRequest};
 use async_trait::async_trait;
 use std::{net::SocketAddr, time::Duration};
 use types::HostName;
 
-/// A process to talk to.
+/// Destination of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PeerTarget {
-    /// Host name that its certificate must carry.
+    /// Host name that the peer's certificate must carry. Not verified on links without TLS.
     pub host: HostName,
-    /// Address.
+    /// Peer address.
     pub address: SocketAddr,
 }
 
@@ -18,6 +18,10 @@
 #[async_trait]
 pub trait PeerLink: Send + Sync {
     /// Sends a request and waits for its answer.
+    ///
+    /// # Errors
+    ///
+    /// Only [`PeerError::NotReached`] guarantees that the request was not delivered.
     async fn call(
         &self,
         target: &PeerTarget,
@@ -25,13 +29,14 @@
         timeout: Duration,
     ) -> Result<PeerAnswer, PeerError>;
 
-    /// Queues a message without answer. It may be lost.
+    /// Queues a message that has no answer. It may be lost.
     fn send(&self, target: &PeerTarget, request: PeerRequest);
 }
 
-/// Takes messages of other processes.
+/// Handles messages from other processes.
 #[async_trait]
 pub trait PeerHandler: Send + Sync {
-    /// Answers a request of the process on `host`, as its certificate names it.
+    /// Answers a request from the process on `host`. The name is taken from the peer's certificate,
+    /// or from its first frame on links without TLS.
     async fn handle(&self, host: &HostName, request: PeerRequest) -> PeerAnswer;
 }
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between processes.
+//! Message types exchanged between processes.
 
 use crate::{PackedView, PeerError};
 use consensus::{Envelope, LogIndex, MembershipChange, ReplicaId};
@@ -11,36 +11,36 @@
     ServerName, SuspectReport, ViewChange, ViewUpdate, ViewVersion,
 };
 
-/// A request, or a message without answer.
+/// A request, or a message that has no answer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Between replicas; has no answer.
+    /// Consensus message between replicas; has no answer.
     Consensus(ConsensusMessage),
-    /// An entry asks the leader how fresh its view is.
+    /// Asks a replica to confirm that an entry's view is current.
     Freshness(FreshnessRequest),
-    /// Asks the leader to decide a command.
+    /// Submits a command to the leader.
     Submit(Command),
     /// Asks the leader to change the set of replicas.
     ChangeMembership(MembershipChange),
-    /// A shard owner shows that it is alive; has no answer.
+    /// Heartbeat of a shard owner; has no answer.
     Beat(OwnerHeartbeat),
-    /// Asks a shard owner for changes of its registry.
+    /// Asks a shard owner for the changes of its registry.
     Registry(RegistryRequest),
-    /// Passes an announcement on to the server's owner.
+    /// Forwards an announcement to the owner of the server's shard.
     Announce(Announcement),
-    /// Tells a shard owner about a suspected server; has no answer.
+    /// Reports a suspected server to its shard owner; has no answer.
     Suspect(SuspectReport),
-    /// Hands a request over to another entry.
+    /// Forwards a call to another entry.
     CallForward(CallRequest),
     /// Asks the leader up to which index a follower must have applied the log to serve entries.
     ReadIndex(ReadIndexRequest),
-    /// Tells the leader which servers were heard of; has no answer.
+    /// Reports to the leader which servers have announced themselves; has no answer.
     ServersSeen(Vec<(ServerName, ServerIncarnation)>),
 }
 
-/// A message between replicas, with where its sender can be answered.
+/// A consensus message with the sender's address.
 ///
-/// A learner that has no log yet knows its leader from this alone.
+/// A learner without a log has no membership and can only answer its leader at this address.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ConsensusMessage {
     /// The message.
@@ -54,36 +54,38 @@
 /// The answer to a request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// Nothing to say.
+    /// The request was handled; there is no result.
     Done,
-    /// To a freshness request.
+    /// Answer to a freshness request.
     Freshness(Box<FreshnessAnswer>),
-    /// To a command or a change of the set of replicas.
+    /// Answer to a command or a membership change.
     Submit(SubmitAnswer),
-    /// To a read index request; `None` if the asked replica does not lead.
+    /// Answer to a read index request; `None` if the replica cannot confirm that it leads, or the
+    /// sender is not a member.
     ReadIndex(Option<LogIndex>),
-    /// To a registry request.
+    /// Answer to a registry request.
     Registry(RegistryDelta),
-    /// To a forwarded request.
+    /// Answer to a forwarded call.
     CallForward(Box<CallAnswer>),
-    /// The request is not for this process, or not allowed for the sender.
+    /// The request is not addressed to this process, or the sender is not allowed to make it.
     Refused(String),
 }
 
 /// A request to confirm a view.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FreshnessRequest {
-    /// The entry that asks; registered with this if it is new. `None` for a plain read.
+    /// The requesting entry, which is registered if it is new or changed. `None` for a read without
+    /// registration.
     pub entry: Option<EntryInfo>,
-    /// The version of its view.
+    /// The version of the requester's view.
     pub version: ViewVersion,
-    /// Digest of the replicas that the entry knows, see [`replicas_digest`].
+    /// Digest of the replica addresses known to the requester, see [`replicas_digest`].
     pub known_replicas: u32,
-    /// A follower may serve the request too, once the leader has told it how far its log must be.
+    /// Whether a follower may serve the request after it gets a read index from the leader.
     pub may_relay: bool,
 }
 
-/// Returns a digest of the replicas' addresses, whatever their order; 0 for none.
+/// Returns an order-independent digest of replica addresses; 0 if there are none.
 pub fn replicas_digest(addresses: impl Iterator<Item = SocketAddr>) -> u32 {
     addresses.fold(0, |digest, address| digest ^ crc32fast::hash(address.to_string().as_bytes()))
 }
@@ -91,35 +93,35 @@
 /// A follower's request for a read index, on behalf of the entries that it serves.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReadIndexRequest {
-    /// The follower. Its host name is not enough: replicas that formed the set from seeds know each
-    /// other by address only.
+    /// The follower. The peer's host name does not identify it: replicas that formed the set from
+    /// seed addresses know each other by address only.
     pub replica: ReplicaId,
-    /// The entries, with the versions of their views.
+    /// Entries that the follower serves, with the versions of their views.
     pub entries: Vec<(EntryName, ViewVersion)>,
-    /// Those that the follower's view does not show as they are.
+    /// Entries that are missing from the follower's view, or differ from it.
     pub changed: Vec<EntryInfo>,
 }
 
 /// The answer to a freshness request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum FreshnessAnswer {
-    /// The view, once updated, is fresh as of the time at which the request was sent.
+    /// With the update applied, the view is current as of the time at which the request was sent.
     Granted(FreshnessGrant),
-    /// The asked replica does not lead.
+    /// The replica cannot serve the request; holds the leader's address, if known.
     NotLeader(Option<ReplicaAddress>),
 }
 
-/// What brings an entry to the current view.
+/// Update of an entry's view, as transferred.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ViewTransfer {
-    /// As it stands.
+    /// Uncompressed update.
     Plain(ViewUpdate),
-    /// A view that was packed once for many entries, and the changes that follow it.
+    /// A whole view, packed once for many entries, and the changes that follow it.
     Packed(PackedView, Vec<ViewChange>),
 }
 
 impl ViewTransfer {
-    /// Returns the update.
+    /// Decodes the update.
     ///
     /// # Errors
     ///
@@ -136,28 +138,29 @@
     }
 }
 
-/// A leader's confirmation after a quorum round.
+/// Confirmation of a view after a quorum round.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FreshnessGrant {
-    /// What the entry lacks.
+    /// The changes that the entry's view lacks.
     pub update: ViewTransfer,
-    /// All replicas, for the next requests; empty if the entry knows them.
+    /// Addresses of all replicas, for subsequent requests; empty if the entry already knows them.
     pub replicas: Vec<ReplicaAddress>,
-    /// The failure domain of the replica that answers.
+    /// The failure domain of the answering replica.
     pub domain: DomainName,
 }
 
 /// The answer to a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmitAnswer {
-    /// Committed and applied.
+    /// The command is committed and applied.
     Applied(CommandAnswer),
-    /// The change of the set of replicas is in the log.
+    /// The membership change is in the log.
     Accepted,
-    /// The asked replica does not lead; the command was not taken.
+    /// The replica is not the leader and the command has no effect; holds the leader's address, if
+    /// known.
     NotLeader(Option<ReplicaAddress>),
-    /// The command was not taken.
+    /// The command was rejected and has no effect; holds the reason.
     Refused(String),
-    /// The command may or may not come into force.
+    /// The outcome is unknown; the command may still take effect.
     Unknown,
 }
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -1,7 +1,8 @@
-//! One process's end of all its links.
+//! Links over QUIC.
 //!
-//! Requests run on a stream each. Messages without answer share one ordered stream a peer, fed from
-//! a bounded queue: what does not fit is dropped, as on any lossy network.
+//! Each request runs on its own stream. Messages that have no answer share one ordered stream per
+//! peer, which is fed from a bounded queue; when the queue is full, messages are dropped, as on any
+//! lossy network.
 
 use crate::{
     PeerAnswer, PeerError, PeerHandler, PeerLink, PeerRequest, PeerTarget, TlsMaterial,
@@ -21,24 +22,24 @@
 use tokio::{sync::mpsc, time::timeout};
 use types::HostName;
 
-/// Messages without answer that may wait for one peer.
+/// Capacity of the queue of messages without answer to one peer.
 const QUEUE_LIMIT: usize = 4096;
-/// Time allowed to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time after which a silent connection is given up.
+/// Time without packets from the peer after which a connection is closed, in milliseconds.
 const IDLE_TIMEOUT_MS: u32 = 3_000;
 /// Period of keep-alive packets on an idle connection.
 const KEEP_ALIVE: Duration = Duration::from_millis(1_000);
-/// The greatest number of requests open at the same time on one connection; more wait. The library
-/// reserves memory for each.
+/// Maximum number of concurrent requests on one connection; further requests wait. Bounded because
+/// the QUIC library reserves memory for each stream.
 const MAX_STREAMS: u32 = 256;
 
-/// Bytes that a process has exchanged with others, UDP payloads of all links.
+/// Bytes of UDP payload exchanged on all links of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkTraffic {
-    /// Sent.
+    /// Bytes sent.
     pub sent: u64,
-    /// Received.
+    /// Bytes received.
     pub received: u64,
 }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// Open links, and the traffic of those that have closed.
+/// Open connections, and the total traffic of closed ones.
 #[derive(Default)]
 struct TrafficTotals {
     open: Vec<Connection>,
@@ -59,7 +60,7 @@
 
 type ConnectionSlot = Arc<tokio::sync::Mutex<Option<Connection>>>;
 
-/// Opens and accepts links.
+/// Opens and accepts QUIC links for one process.
 pub struct PeerNode {
     endpoint: Endpoint,
     timeline: EventTimeline,
@@ -70,7 +71,11 @@
 }
 
 impl PeerNode {
-    /// Opens the socket of this process. Port 0 takes a free port.
+    /// Binds the UDP socket of the process. Port 0 selects a free port.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the keys cannot be used or the address cannot be bound.
     pub fn bind(
         address: SocketAddr,
         material: &TlsMaterial,
@@ -98,7 +103,7 @@
         Ok(Arc::new(Self { endpoint, timeline, counters, connections, traffic, queues }))
     }
 
-    /// Returns the address of the socket.
+    /// Returns the local address of the socket.
     pub fn address(&self) -> Result<SocketAddr, PeerError> {
         let address = SocketAddr::from(([0, 0, 0, 0], 0));
         let bind_error =
@@ -106,7 +111,7 @@
         self.endpoint.local_addr().map_err(bind_error)
     }
 
-    /// Returns the bytes exchanged so far.
+    /// Returns the traffic so far, and forgets connections that have closed.
     pub fn traffic(&self) -> LinkTraffic {
         let mut totals = self.traffic.lock();
         let TrafficTotals { open, closed } = &mut *totals;
@@ -122,8 +127,8 @@
         total
     }
 
-    fn note_link(&self, connection: &Connection) {
-        // Counting also drops the closed links, so that the list does not grow.
+    fn track_connection(&self, connection: &Connection) {
+        // Drops closed connections, so that the list does not grow without bound.
         self.traffic();
         self.traffic.lock().open.push(connection.clone());
     }
@@ -153,7 +158,7 @@
             return;
         };
         self.counters.count("link-accepted");
-        self.note_link(&connection);
+        self.track_connection(&connection);
         loop {
             tokio::select! {
                 stream = connection.accept_bi() => {
@@ -167,7 +172,7 @@
                     let Ok(receive) = stream else { return };
                     let (node, handler, host) = (self.clone(), handler.clone(), host.clone());
                     tokio::spawn(async move {
-                        node.serve_queue(&host, receive, handler.as_ref()).await;
+                        node.serve_messages(&host, receive, handler.as_ref()).await;
                     });
                 }
             }
@@ -192,18 +197,18 @@
         if let Ok(frame) = encode_frame(self.timeline.stamp(), &answer)
             && send.write_all(&frame).await.is_ok()
         {
-            // A peer that has gone away needs no answer.
+            // Fails if the peer has closed the stream and no longer expects an answer.
             let _ = send.finish();
         }
     }
 
-    async fn serve_queue(
+    async fn serve_messages(
         &self,
         host: &HostName,
         mut receive: RecvStream,
         handler: &dyn PeerHandler,
     ) {
-        while let Some(bytes) = read_sized(&mut receive).await {
+        while let Some(bytes) = read_length_prefixed(&mut receive).await {
             if let Some(request) = self.decode_request(&bytes) {
                 handler.handle(host, request).await;
             }
@@ -241,48 +246,50 @@
             .await
             .map_err(|_| not_reached("connect timed out".to_owned()))?
             .map_err(|error| not_reached(error.to_string()))?;
-        self.note_link(&connection);
+        self.track_connection(&connection);
         *slot = Some(connection.clone());
         Ok(connection)
     }
 
-    async fn exchange(
+    async fn send_request(
         &self,
         target: &PeerTarget,
         request: &PeerRequest,
     ) -> Result<PeerAnswer, PeerError> {
         let connection = self.connect(target).await?;
         let address = target.address;
-        let broken = |reason: String| PeerError::BrokenOff { address, reason };
+        let connection_lost = |reason: String| PeerError::ConnectionLost { address, reason };
         let (mut send, mut receive) =
-            connection.open_bi().await.map_err(|error| broken(error.to_string()))?;
+            connection.open_bi().await.map_err(|error| connection_lost(error.to_string()))?;
         let frame = encode_frame(self.timeline.stamp(), request)?;
-        send.write_all(&frame).await.map_err(|error| broken(error.to_string()))?;
-        send.finish().map_err(|error| broken(error.to_string()))?;
+        send.write_all(&frame).await.map_err(|error| connection_lost(error.to_string()))?;
+        send.finish().map_err(|error| connection_lost(error.to_string()))?;
         let bytes = receive
             .read_to_end(MAX_FRAME_BYTES)
             .await
-            .map_err(|error| broken(error.to_string()))?;
+            .map_err(|error| connection_lost(error.to_string()))?;
         let (time, answer) = decode_frame(&bytes)?;
         self.timeline.observe(time);
         Ok(answer)
     }
 
-    /// Sends what is queued for one peer, on one stream, until the stream breaks.
-    async fn drain_queue(
+    /// Sends queued messages to one peer on a single stream until the queue closes or the stream
+    /// fails.
+    async fn send_queued(
         &self,
         target: &PeerTarget,
         queue: &mut mpsc::Receiver<PeerRequest>,
     ) -> Result<(), PeerError> {
         let connection = self.connect(target).await?;
         let address = target.address;
-        let broken = |reason: String| PeerError::BrokenOff { address, reason };
-        let mut stream = connection.open_uni().await.map_err(|error| broken(error.to_string()))?;
+        let connection_lost = |reason: String| PeerError::ConnectionLost { address, reason };
+        let mut stream =
+            connection.open_uni().await.map_err(|error| connection_lost(error.to_string()))?;
         while let Some(request) = queue.recv().await {
             let frame = encode_frame(self.timeline.stamp(), &request)?;
             let length = (frame.len() as u32).to_be_bytes();
-            stream.write_all(&length).await.map_err(|error| broken(error.to_string()))?;
-            stream.write_all(&frame).await.map_err(|error| broken(error.to_string()))?;
+            stream.write_all(&length).await.map_err(|error| connection_lost(error.to_string()))?;
+            stream.write_all(&frame).await.map_err(|error| connection_lost(error.to_string()))?;
         }
         Ok(())
     }
@@ -293,7 +300,7 @@
         mut queue: mpsc::Receiver<PeerRequest>,
     ) {
         while !queue.is_closed() {
-            if self.drain_queue(&target, &mut queue).await.is_err() {
+            if self.send_queued(&target, &mut queue).await.is_err() {
                 self.counters.count("link-broken");
                 while queue.try_recv().is_ok() {}
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -310,7 +317,7 @@
         request: PeerRequest,
         limit: Duration,
     ) -> Result<PeerAnswer, PeerError> {
-        match timeout(limit, self.exchange(target, &request)).await {
+        match timeout(limit, self.send_request(target, &request)).await {
             Ok(result) => result,
             Err(_) => Err(PeerError::TimedOut {
                 address: target.address,
@@ -349,8 +356,9 @@
     certified_host(&chain)
 }
 
-/// Reads one length-prefixed frame. Returns `None` at the end, or if the length is too great.
-async fn read_sized(receive: &mut RecvStream) -> Option<Vec<u8>> {
+/// Reads one length-prefixed frame. Returns `None` at the end of the stream, or if the length
+/// exceeds [`MAX_FRAME_BYTES`].
+async fn read_length_prefixed(receive: &mut RecvStream) -> Option<Vec<u8>> {
     let mut length = [0; 4];
     receive.read_exact(&mut length).await.ok()?;
     let length = u32::from_be_bytes(length) as usize;
--- a/crates/peer/src/reach.rs
+++ b/crates/peer/src/reach.rs
@@ -1,19 +1,23 @@
-//! Opening a connection to a host that may be starting right now.
+//! Connection attempts to hosts that may still be starting.
 
 use futures_util::{StreamExt, stream::FuturesUnordered};
 use std::{fmt::Display, time::Duration};
 use tokio::time::{Instant, interval, sleep_until};
 
-/// Pause between attempts that overlap. The opening packet to a host without power is lost, and the
-/// kernel sends it again only after a second.
+/// Interval between overlapping connection attempts. The first packet to a host without power is
+/// lost, and the kernel retransmits it only after a second.
 pub const ATTEMPT_PERIOD: Duration = Duration::from_millis(100);
 
-/// Starts an attempt each [`ATTEMPT_PERIOD`], until one succeeds or is refused.
+/// Starts a connection attempt every [`ATTEMPT_PERIOD`] until the first one ends, successfully or
+/// not. Earlier attempts keep running, so that a slow host is not cut off.
 ///
 /// # Errors
 ///
-/// Returns why the first attempt to end was refused, or that `limit` passed.
-pub async fn reach<T, E, F>(limit: Duration, mut attempt: impl FnMut() -> F) -> Result<T, String>
+/// Returns the error of the first attempt to end, or a timeout after `limit`.
+pub async fn connect_repeatedly<T, E, F>(
+    limit: Duration,
+    mut attempt: impl FnMut() -> F,
+) -> Result<T, String>
 where
     E: Display,
     F: Future<Output = Result<T, E>>,
--- a/crates/peer/src/stream_node.rs
+++ b/crates/peer/src/stream_node.rs
@@ -1,14 +1,14 @@
-//! Links over plain TCP, for networks where processes hold no keys.
+//! Links over plain TCP, for deployments without keys.
 //!
-//! Each process keeps one connection to each peer that it talks to and runs all requests on it.
-//! Nothing authenticates the peer, so that only a trusted network may carry these links. A
-//! connection that has gone silent is found by pings and replaced.
+//! A process opens one connection to each peer and multiplexes all requests on it. Peers are not
+//! authenticated, so these links must run on a trusted network only. Unresponsive connections are
+//! detected by pings and replaced.
 
 use crate::{
     PeerAnswer, PeerError, PeerHandler, PeerLink, PeerRequest, PeerTarget,
     frame::{MAX_FRAME_BYTES, decode_frame, encode_frame},
-    packing::{pack, unpack},
-    reach::reach,
+    packing::{compress_frame, decompress_frame},
+    reach::connect_repeatedly,
 };
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -39,17 +39,19 @@
 };
 use types::HostName;
 
-/// Frames that may wait for one peer; what does not fit is dropped, as on any lossy network.
+/// Capacity of the frame queue to one peer. When it is full, frames are dropped, as on any lossy
+/// network.
 const QUEUE_LIMIT: usize = 4096;
-/// Time allowed to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Period of pings on a connection that was used since the last one.
+/// Ping period. A ping is sent only if the connection was used since the last one.
 const PING_PERIOD: Duration = Duration::from_millis(400);
-/// Silence after a ping that ends a connection; longer than a slowed peer needs to answer.
+/// Time without any frame after a ping that ends a connection. Longer than a slow peer needs to
+/// answer.
 const PING_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Unacknowledged data older than this ends a connection.
+/// Time that sent data may stay unacknowledged before the kernel closes the connection.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after which a connection that nobody uses is closed.
+/// Time after which an unused connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -64,12 +66,12 @@
 
 struct OutgoingFrame {
     frame: Bytes,
-    waiter: Option<(u64, oneshot::Sender<Result<PeerAnswer, PeerError>>)>,
+    reply: Option<(u64, oneshot::Sender<Result<PeerAnswer, PeerError>>)>,
 }
 
 type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// One process's end of all its TCP links.
+/// Opens and accepts TCP links for one process.
 pub struct StreamNode {
     host: HostName,
     links: Mutex<HashMap<SocketAddr, mpsc::Sender<OutgoingFrame>>>,
@@ -79,13 +81,14 @@
 }
 
 impl StreamNode {
-    /// Returns a node that names itself `host` to its peers.
+    /// Creates a node that sends `host` as its name to its peers.
     pub fn new(host: HostName, timeline: EventTimeline, counters: DecisionCounters) -> Arc<Self> {
         let (links, next_id) = (Mutex::default(), AtomicU64::new(1));
         Arc::new(Self { host, links, next_id, timeline, counters })
     }
 
-    /// Takes requests of peers until the task is dropped, which closes their connections.
+    /// Accepts connections and serves their requests until the future is dropped, which closes the
+    /// connections.
     pub async fn serve(self: Arc<Self>, listener: TcpListener, handler: Arc<dyn PeerHandler>) {
         let mut streams = JoinSet::new();
         loop {
@@ -104,7 +107,7 @@
     }
 
     async fn serve_stream(self: Arc<Self>, stream: TcpStream, handler: Arc<dyn PeerHandler>) {
-        if prepare(&stream).is_err() {
+        if set_socket_options(&stream).is_err() {
             self.counters.count("link-refused");
             return;
         }
@@ -143,9 +146,9 @@
 
     async fn queue_frame(&self, queue: &mpsc::Sender<Bytes>, frame: &StreamFrame) {
         match encode_frame(self.timeline.stamp(), frame) {
-            // A peer whose connection broke asks again on another one.
+            // Fails if the connection has closed; the peer then retries on another one.
             Ok(frame) => {
-                let _ = queue.send(pack(frame)).await;
+                let _ = queue.send(compress_frame(frame)).await;
             }
             Err(_) => self.counters.count("message-malformed"),
         }
@@ -156,7 +159,7 @@
         frames: &mut (impl StreamExt<Item = io::Result<bytes::BytesMut>> + Unpin),
     ) -> Option<StreamFrame> {
         let bytes = frames.next().await?.ok()?;
-        let decoded = unpack(&bytes).and_then(|frame| decode_frame(&frame).ok());
+        let decoded = decompress_frame(&bytes).and_then(|frame| decode_frame(&frame).ok());
         match decoded {
             Some((time, frame)) => {
                 self.timeline.observe(time);
@@ -182,41 +185,41 @@
         link
     }
 
-    /// Runs one connection from its opening to its end. Whatever still waits then fails.
+    /// Opens a connection and runs it until it ends, then fails all requests that still wait.
     async fn run_link(
         self: Arc<Self>,
         address: SocketAddr,
         mut queue: mpsc::Receiver<OutgoingFrame>,
     ) {
-        let mut waiters = HashMap::new();
-        let opened = reach(CONNECT_TIMEOUT, || TcpStream::connect(address)).await;
+        let mut pending = HashMap::new();
+        let opened = connect_repeatedly(CONNECT_TIMEOUT, || TcpStream::connect(address)).await;
         let opened = opened.and_then(|stream| {
-            prepare(&stream).map(|()| stream).map_err(|error| error.to_string())
+            set_socket_options(&stream).map(|()| stream).map_err(|error| error.to_string())
         });
         let was_opened = opened.is_ok();
         let reason = match opened {
-            Ok(stream) => self.exchange(stream, &mut queue, &mut waiters).await,
+            Ok(stream) => self.run_connection(stream, &mut queue, &mut pending).await,
             Err(reason) => reason,
         };
         self.counters.count(if was_opened { "link-broken" } else { "link-not-reached" });
         queue.close();
         while let Ok(outgoing) = queue.try_recv() {
-            if let Some((_, waiter)) = outgoing.waiter {
+            if let Some((_, reply)) = outgoing.reply {
                 let reason = reason.clone();
-                let _ = waiter.send(Err(PeerError::NotReached { address, reason }));
+                let _ = reply.send(Err(PeerError::NotReached { address, reason }));
             }
         }
-        for waiter in waiters.into_values() {
+        for reply in pending.into_values() {
             let reason = reason.clone();
-            let _ = waiter.send(Err(PeerError::BrokenOff { address, reason }));
+            let _ = reply.send(Err(PeerError::ConnectionLost { address, reason }));
         }
     }
 
-    async fn exchange(
+    async fn run_connection(
         &self,
         stream: TcpStream,
         queue: &mut mpsc::Receiver<OutgoingFrame>,
-        waiters: &mut HashMap<u64, oneshot::Sender<Result<PeerAnswer, PeerError>>>,
+        pending: &mut HashMap<u64, oneshot::Sender<Result<PeerAnswer, PeerError>>>,
     ) -> String {
         let (mut sink, mut frames) = framed(stream).split();
         let hello = StreamFrame::Hello(self.host.clone());
@@ -226,48 +229,48 @@
         ) else {
             return "the host name cannot be encoded".to_owned();
         };
-        if let Err(error) = sink.send(pack(hello)).await {
+        if let Err(error) = sink.send(compress_frame(hello)).await {
             return error.to_string();
         }
-        let ping = pack(ping);
+        let ping = compress_frame(ping);
         let mut pings = interval(PING_PERIOD);
-        let mut pinged: Option<Instant> = None;
-        let (mut was_used, mut used) = (true, Instant::now());
+        let mut ping_sent: Option<Instant> = None;
+        let (mut was_used, mut last_used) = (true, Instant::now());
         loop {
             tokio::select! {
                 outgoing = queue.recv() => {
                     let Some(outgoing) = outgoing else { return "closed".to_owned() };
-                    if let Some((id, waiter)) = outgoing.waiter {
-                        waiters.insert(id, waiter);
+                    if let Some((id, reply)) = outgoing.reply {
+                        pending.insert(id, reply);
                     }
-                    (was_used, used) = (true, Instant::now());
+                    (was_used, last_used) = (true, Instant::now());
                     if let Err(error) = sink.send(outgoing.frame).await {
                         return error.to_string();
                     }
                 }
                 frame = self.read_frame(&mut frames) => {
                     let Some(frame) = frame else { return "the peer closed".to_owned() };
-                    pinged = None;
+                    ping_sent = None;
                     if let StreamFrame::Answer(id, answer) = frame
-                        && let Some(waiter) = waiters.remove(&id)
+                        && let Some(reply) = pending.remove(&id)
                     {
-                        // A requester that no longer waits needs no answer.
-                        let _ = waiter.send(Ok(answer));
+                        // Fails if the requester has stopped waiting.
+                        let _ = reply.send(Ok(answer));
                     }
                 }
                 _ = pings.tick() => {
-                    waiters.retain(|_, waiter| !waiter.is_closed());
-                    if pinged.is_some_and(|since| since.elapsed() > PING_TIMEOUT) {
+                    pending.retain(|_, reply| !reply.is_closed());
+                    if ping_sent.is_some_and(|since| since.elapsed() > PING_TIMEOUT) {
                         return "no answer to a ping".to_owned();
                     }
-                    if used.elapsed() > IDLE_TIMEOUT {
+                    if last_used.elapsed() > IDLE_TIMEOUT {
                         return "idle".to_owned();
                     }
-                    if was_used && pinged.is_none() {
+                    if was_used && ping_sent.is_none() {
                         if let Err(error) = sink.send(ping.clone()).await {
                             return error.to_string();
                         }
-                        (pinged, was_used) = (Some(Instant::now()), false);
+                        (ping_sent, was_used) = (Some(Instant::now()), false);
                     }
                 }
             }
@@ -286,18 +289,18 @@
         let address = target.address;
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let frame = encode_frame(self.timeline.stamp(), &StreamFrame::Request(id, request))?;
-        let frame = pack(frame);
-        let (waiter, answer) = oneshot::channel();
-        let outgoing = OutgoingFrame { frame, waiter: Some((id, waiter)) };
+        let frame = compress_frame(frame);
+        let (reply, answer) = oneshot::channel();
+        let outgoing = OutgoingFrame { frame, reply: Some((id, reply)) };
         if self.link(address).try_send(outgoing).is_err() {
             self.counters.count("message-dropped");
-            let reason = "too many messages wait".to_owned();
+            let reason = "the send queue is full".to_owned();
             return Err(PeerError::NotReached { address, reason });
         }
         match timeout(limit, answer).await {
             Ok(Ok(result)) => result,
             Ok(Err(_)) => {
-                Err(PeerError::BrokenOff { address, reason: "the link ended".to_owned() })
+                Err(PeerError::ConnectionLost { address, reason: "the link ended".to_owned() })
             }
             Err(_) => Err(PeerError::TimedOut { address, timeout_ms: limit.as_millis() as u64 }),
         }
@@ -306,7 +309,7 @@
     fn send(&self, target: &PeerTarget, request: PeerRequest) {
         let frame = encode_frame(self.timeline.stamp(), &StreamFrame::Notice(request));
         let is_queued = frame.is_ok_and(|frame| {
-            let outgoing = OutgoingFrame { frame: pack(frame), waiter: None };
+            let outgoing = OutgoingFrame { frame: compress_frame(frame), reply: None };
             self.link(target.address).try_send(outgoing).is_ok()
         });
         if !is_queued {
@@ -319,8 +322,8 @@
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
 
-/// Sets the options by which a dead or silent peer is noticed.
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+/// Sets the socket options that detect a dead or unresponsive peer.
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
--- a/crates/peer/src/tls.rs
+++ b/crates/peer/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS settings made from key files.
+//! TLS configuration built from key files.
 
 use crate::{KeyError, KeyFiles};
 use rustls::{
@@ -9,10 +9,10 @@
 use std::{path::Path, sync::Arc};
 use types::HostName;
 
-/// Protocol name that both ends of a link must offer.
+/// ALPN protocol name of links.
 const LINK_PROTOCOL: &[u8] = b"hawthornhill/1";
 
-/// The keys of a process, loaded.
+/// The loaded keys and certificates of a process or an operator.
 #[derive(Debug)]
 pub struct TlsMaterial {
     host_authority: Arc<RootCertStore>,
@@ -22,7 +22,11 @@
 }
 
 impl TlsMaterial {
-    /// Reads the files of a key folder.
+    /// Loads the files of a key folder.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file cannot be read or contains no usable key or certificate.
     pub fn load(folder: &Path) -> Result<Self, KeyError> {
         let files = KeyFiles::in_folder(folder);
         Ok(Self {
@@ -34,14 +38,14 @@
         })
     }
 
-    /// Returns the settings with which a process accepts links.
+    /// Returns the server configuration of links, which accepts clients of the host authority.
     pub(crate) fn link_server_config(&self) -> Result<ServerConfig, KeyError> {
         let mut config = self.server_config(self.host_authority.clone())?;
         config.alpn_protocols = vec![LINK_PROTOCOL.to_vec()];
         Ok(config)
     }
 
-    /// Returns the settings with which a process opens links.
+    /// Returns the client configuration of links.
     pub(crate) fn link_client_config(&self) -> Result<ClientConfig, KeyError> {
         let mut config = self.client_config()?;
         config.alpn_protocols = vec![LINK_PROTOCOL.to_vec()];
@@ -76,17 +80,18 @@
     }
 }
 
-/// Returns the settings with which a process accepts operators.
+/// Returns the server configuration for operators' connections, which accepts clients of the
+/// operator authority.
 pub fn operator_server_config(material: &TlsMaterial) -> Result<ServerConfig, KeyError> {
     material.server_config(material.operator_authority.clone())
 }
 
-/// Returns the settings with which an operator's tool connects to a process.
+/// Returns the client configuration with which an operator's tool connects to a process.
 pub fn operator_client_config(folder: &Path) -> Result<ClientConfig, KeyError> {
     TlsMaterial::load(folder)?.client_config()
 }
 
-/// Returns the host that a verified certificate names.
+/// Returns the host name from a verified certificate.
 pub(crate) fn certified_host(chain: &[CertificateDer<'_>]) -> Option<HostName> {
     let certificate = webpki::EndEntityCert::try_from(chain.first()?).ok()?;
     let name = certificate.valid_dns_names().next()?;
@@ -105,7 +110,7 @@
     let found = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
     let certificates: Vec<_> = found.map_err(|error| content_error(path, &error.to_string()))?;
     if certificates.is_empty() {
-        return Err(content_error(path, "holds no certificate"));
+        return Err(content_error(path, "the file contains no certificate"));
     }
     Ok(certificates)
 }
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Frames: every message is decoded as it was encoded, and no bytes make the decoder panic.
+//! Frame encoding: messages survive a round trip, and malformed bytes never make the decoder panic.
 
 use hawthornhill_peer::{
     FreshnessAnswer, FreshnessGrant, PackedView, PeerAnswer, PeerError, PeerRequest, SubmitAnswer,
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn every_message_is_decoded_as_it_was_encoded() {
+fn messages_survive_an_encode_decode_round_trip() {
     for request in requests() {
         let frame = encode_frame(TIME, &request).expect("encodes");
         let (time, decoded) = decode_frame::<PeerRequest>(&frame).expect("decodes");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn bad_frames_are_refused() {
+fn malformed_frames_are_rejected() {
     let frame = encode_frame(TIME, &requests()[0]).expect("encodes");
     let mut other_version = frame.clone();
     other_version[0] = 99;
@@ -133,27 +133,32 @@
     }
 
     #[test]
-    fn damaged_messages_do_not_panic(which in 0..6_usize, place in 0..400_usize, flip in 1..=255_u8) {
-        let mut frame = encode_frame(TIME, &requests()[which]).expect("encodes");
-        let place = place % frame.len();
-        frame[place] ^= flip;
+    fn damaged_messages_do_not_panic(
+        message in 0..6_usize,
+        offset in 0..400_usize,
+        mask in 1..=255_u8,
+    ) {
+        let mut frame = encode_frame(TIME, &requests()[message]).expect("encodes");
+        let offset = offset % frame.len();
+        frame[offset] ^= mask;
         let _ = decode_frame::<PeerRequest>(&frame);
     }
 }
 
 #[test]
-fn packed_view_comes_back_whole_and_broken_bytes_are_refused() {
+fn packed_view_survives_a_round_trip_and_damaged_bytes_do_not_panic() {
     let view = ClusterView::default();
     let packed = PackedView::pack(&view).expect("packs");
     assert_eq!(packed.unpack().expect("unpacks"), view);
     let transfer = ViewTransfer::Packed(packed.clone(), Vec::new());
     assert_eq!(transfer.unpack().expect("unpacks"), ViewUpdate::Whole(Box::new(view)));
     let bytes = postcard::to_stdvec(&packed).expect("encodes");
-    for cut in 0..bytes.len() {
-        let mut broken = bytes.clone();
-        broken[cut] ^= 0x55;
-        if let Ok(packed) = postcard::from_bytes::<PackedView>(&broken) {
-            // Broken bytes may still be a view, but never more than the frame limit, nor a crash.
+    for offset in 0..bytes.len() {
+        let mut damaged = bytes.clone();
+        damaged[offset] ^= 0x55;
+        if let Ok(packed) = postcard::from_bytes::<PackedView>(&damaged) {
+            // Damaged bytes may still decode to a view, but unpacking must neither panic nor exceed
+            // the frame limit.
             let _ = packed.unpack();
         }
     }
--- a/crates/peer/tests/stream.rs
+++ b/crates/peer/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Links over plain TCP: answers, large frames, broken and silent peers.
+//! Links over plain TCP: requests, large frames, and malformed, absent or unresponsive peers.
 
 use async_trait::async_trait;
 use hawthornhill_peer::{
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn requests_of_one_link_run_at_the_same_time_and_large_frames_pass() {
+async fn link_serves_concurrent_requests_and_large_frames() {
     let (target, link) = (serving().await, node("edge-1"));
     let small = link.call(&target, seen(1), LIMIT);
     let large = link.call(&target, seen(50_000), LIMIT);
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn peer_that_is_not_there_is_reported_as_not_reached() {
+async fn absent_peer_is_reported_as_not_reached() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     drop(listener);
@@ -72,27 +72,29 @@
     assert!(matches!(answer, Err(PeerError::NotReached { .. })), "{answer:?}");
 }
 
+/// Guards against links that stay open to a hung peer, which accepts connections but never answers.
 #[tokio::test]
-async fn silent_peer_is_given_up_and_the_next_request_opens_another_link() {
+async fn unresponsive_link_is_closed_and_the_next_request_opens_another() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let target = PeerTarget { host: "core-1".parse().expect("name"), address };
     let link = node("edge-1");
-    let silent = tokio::spawn(async move {
+    let unresponsive = tokio::spawn(async move {
         let first = listener.accept().await.expect("the first link");
         let second = listener.accept().await.expect("the second link");
         (first, second)
     });
     let answer = link.call(&target, seen(1), Duration::from_secs(20)).await;
-    assert!(matches!(answer, Err(PeerError::BrokenOff { .. })), "{answer:?}");
+    assert!(matches!(answer, Err(PeerError::ConnectionLost { .. })), "{answer:?}");
     let _ = link.call(&target, seen(1), Duration::from_millis(200)).await;
-    silent.await.expect("both links were opened");
+    unresponsive.await.expect("both links were opened");
 }
 
+/// Malformed bytes on one connection must not affect the connections of other peers.
 #[tokio::test]
-async fn garbage_ends_its_link_only() {
+async fn malformed_frame_closes_only_its_own_link() {
     let (target, link) = (serving().await, node("edge-1"));
-    let mut stranger = TcpStream::connect(target.address).await.expect("it listens");
-    stranger.write_all(&[0, 0, 0, 5, 1, 255, 255, 255, 255]).await.expect("sent");
+    let mut malformed_peer = TcpStream::connect(target.address).await.expect("it listens");
+    malformed_peer.write_all(&[0, 0, 0, 5, 1, 255, 255, 255, 255]).await.expect("sent");
     assert_eq!(text(link.call(&target, seen(2), LIMIT).await), "edge-1 sent 2");
 }
--- a/crates/peer/tests/tls.rs
+++ b/crates/peer/tests/tls.rs
@@ -1,4 +1,4 @@
-//! Links between processes: who is let in, and who is refused and counted.
+//! Links over QUIC: which peers are accepted, and which are rejected and counted.
 
 use async_trait::async_trait;
 use hawthornhill_peer::{
@@ -39,32 +39,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn only_hosts_of_the_same_authority_under_their_own_names_are_let_in() {
+async fn only_hosts_of_the_same_authority_under_their_own_names_are_accepted() {
     let folder = tempdir().expect("folder");
     let path = |name: &str| folder.path().join(name);
     let ours = KeyForge::open(&path("ours")).expect("authority");
     let theirs = KeyForge::open(&path("theirs")).expect("authority");
     ours.issue_host("server", 30, &path("server")).expect("issued");
-    ours.issue_host("friend", 30, &path("friend")).expect("issued");
+    ours.issue_host("trusted", 30, &path("trusted")).expect("issued");
     ours.issue_host("expired", -1, &path("expired")).expect("issued");
     ours.issue_operator("operator", 30, &path("operator")).expect("issued");
-    theirs.issue_host("friend", 30, &path("stranger")).expect("issued");
+    theirs.issue_host("trusted", 30, &path("foreign")).expect("issued");
 
     let (server, counters) = node(&path("server"));
     let address = server.address().expect("bound");
     tokio::spawn(server.clone().serve(Arc::new(Echo)));
 
-    let (friend, _) = node(&path("friend"));
-    let answer = call(&friend, "server", address).await.expect("let in");
-    assert!(matches!(answer, PeerAnswer::Refused(host) if host == "friend"), "named by its key");
+    let (trusted, _) = node(&path("trusted"));
+    let answer = call(&trusted, "server", address).await.expect("accepted");
+    assert!(
+        matches!(answer, PeerAnswer::Refused(host) if host == "trusted"),
+        "named by its certificate"
+    );
     assert_eq!(counters.get("link-accepted"), 1);
 
-    // The host at the address has another name than the one meant.
-    let (other, _) = node(&path("friend"));
+    // The host at this address has a different name than the target.
+    let (other, _) = node(&path("trusted"));
     let result = call(&other, "replica-9", address).await;
     assert!(matches!(result, Err(PeerError::NotReached { .. })), "{result:?}");
 
-    for name in ["stranger", "expired", "operator"] {
+    for name in ["foreign", "expired", "operator"] {
         let before = counters.get("link-refused");
         let (client, _) = node(&path(name));
         let result = call(&client, "server", address).await;
@@ -77,9 +80,9 @@
         }
         assert!(counters.get("link-refused") > before, "{name} is counted");
     }
-    assert_eq!(counters.get("link-accepted"), 1, "no other got in");
+    assert_eq!(counters.get("link-accepted"), 1, "no other host was accepted");
 
-    // Plain text is no link at all.
+    // Packets that are not QUIC are ignored and do not disturb the server.
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.expect("socket");
     for _ in 0..20 {
         socket
@@ -87,12 +90,12 @@
             .await
             .expect("sent");
     }
-    let answer = call(&friend, "server", address).await;
-    assert!(answer.is_ok(), "the server is unmoved");
+    let answer = call(&trusted, "server", address).await;
+    assert!(answer.is_ok(), "the server still answers");
 }
 
 #[test]
-fn keys_that_cannot_be_used_are_named() {
+fn errors_name_the_unusable_key_file() {
     let folder = tempdir().expect("folder");
     let error = TlsMaterial::load(folder.path()).expect_err("no files").to_string();
     assert!(error.contains("host-authority.pem"), "{error}");
--- a/crates/replica/src/driver/effects.rs
+++ b/crates/replica/src/driver/effects.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Executes one set of effects. If the disk write fails, keeps the effects for a retry and returns
-    /// false.
+    /// Executes one set of effects. If the disk write fails, keeps the effects for a retry and
+    /// returns false.
     fn apply_effects(&mut self, mut effects: Effects) -> bool {
         for envelope in effects.early_messages.drain(..) {
             self.send(envelope);
