--- a/crates/ctl/src/keys.rs
+++ b/crates/ctl/src/keys.rs
@@ -1,13 +1,13 @@
 //! `hawthornctl keys`.
 
 use crate::{arguments::KeysCommand, error::CtlError};
-use peer::KeyForge;
+use peer::KeyIssuer;
 
 /// Makes a key folder.
 pub fn run(command: &KeysCommand) -> Result<(), CtlError> {
     let usage = |error: peer::KeyError| CtlError::Usage(error.to_string());
     let (KeysCommand::Host(key) | KeysCommand::Operator(key)) = command;
-    let forge = KeyForge::open(&key.authority).map_err(usage)?;
+    let forge = KeyIssuer::open(&key.authority).map_err(usage)?;
     let name = key.name.as_str();
     match command {
         KeysCommand::Host(_) => forge.issue_host(name, key.days, &key.out),
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -1,7 +1,7 @@
 //! `hawthornctl` against a running system: exit codes, output, time line, and who is let in.
 
 use hawthornhill::DaemonProcess;
-use peer::KeyForge;
+use peer::KeyIssuer;
 use runtime::{ProcessRole, ProcessSettings, ReplicaAddress};
 use std::{
     path::{Path, PathBuf},
@@ -43,7 +43,7 @@
     async fn start() -> Self {
         let folder = tempfile::tempdir().expect("folder");
         let path = |name: &str| folder.path().join(name);
-        let forge = KeyForge::open(&path("authority")).expect("authority");
+        let forge = KeyIssuer::open(&path("authority")).expect("authority");
         forge.issue_operator("ana", 30, &path("ana")).expect("issued");
         let mut settings: Vec<ProcessSettings> = Vec::new();
         for (number, domain) in [(1, "kranj"), (2, "celje")] {
@@ -182,9 +182,9 @@
 async fn only_operators_are_let_in() {
     let fixture = Fixture::start().await;
     let endpoint = format!("host-1={}", fixture.settings[0].operator_address);
-    let stranger = KeyForge::open(&fixture.path("theirs")).expect("authority");
+    let stranger = KeyIssuer::open(&fixture.path("theirs")).expect("authority");
     stranger.issue_operator("ana", 30, &fixture.path("stranger")).expect("issued");
-    let ours = KeyForge::open(&fixture.path("authority")).expect("authority");
+    let ours = KeyIssuer::open(&fixture.path("authority")).expect("authority");
     ours.issue_operator("old", -1, &fixture.path("expired")).expect("issued");
     for keys in ["host-2", "stranger", "expired"] {
         let keys = fixture.path(keys);
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -74,11 +74,11 @@
 
 /// Issues keys and certificates. The authorities' private keys stay in the operators' folder.
 #[derive(Debug)]
-pub struct KeyForge {
+pub struct KeyIssuer {
     folder: PathBuf,
 }
 
-impl KeyForge {
+impl KeyIssuer {
     /// Opens the operators' folder, and creates each of the two authorities if it is missing.
     ///
     /// # Errors
@@ -86,14 +86,14 @@
     /// Fails if a file cannot be written or a certificate cannot be generated.
     pub fn open(folder: &Path) -> Result<Self, KeyError> {
         create_folder(folder)?;
-        let forge = Self { folder: folder.to_owned() };
-        forge.ensure_authority(HOST_AUTHORITY, HOST_AUTHORITY_KEY, "hawthornhill hosts")?;
-        forge.ensure_authority(
+        let issuer = Self { folder: folder.to_owned() };
+        issuer.ensure_authority(HOST_AUTHORITY, HOST_AUTHORITY_KEY, "hawthornhill hosts")?;
+        issuer.ensure_authority(
             OPERATOR_AUTHORITY,
             OPERATOR_AUTHORITY_KEY,
             "hawthornhill operators",
         )?;
-        Ok(forge)
+        Ok(issuer)
     }
 
     /// Writes the key folder of a host to `target`. The certificate expires after `days`.
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use error::PeerError;
 pub use frame::{MAX_FRAME_BYTES, decode_frame, encode_frame};
-pub use keys::{KeyError, KeyFiles, KeyForge};
+pub use keys::{KeyError, KeyFiles, KeyIssuer};
 pub use link::{PeerHandler, PeerLink, PeerTarget};
 pub use message::{
     ConsensusMessage, FreshnessAnswer, FreshnessGrant, FreshnessRequest, PeerAnswer, PeerRequest,
--- a/crates/peer/tests/tls.rs
+++ b/crates/peer/tests/tls.rs
@@ -2,7 +2,7 @@
 
 use async_trait::async_trait;
 use hawthornhill_peer::{
-    KeyForge, PeerAnswer, PeerError, PeerHandler, PeerLink, PeerNode, PeerRequest, PeerTarget,
+    KeyIssuer, PeerAnswer, PeerError, PeerHandler, PeerLink, PeerNode, PeerRequest, PeerTarget,
     TlsMaterial,
 };
 use runtime::{DecisionCounters, EventTimeline, MetricsRegistry};
@@ -42,8 +42,8 @@
 async fn only_hosts_of_the_same_authority_under_their_own_names_are_accepted() {
     let folder = tempdir().expect("folder");
     let path = |name: &str| folder.path().join(name);
-    let ours = KeyForge::open(&path("ours")).expect("authority");
-    let theirs = KeyForge::open(&path("theirs")).expect("authority");
+    let ours = KeyIssuer::open(&path("ours")).expect("authority");
+    let theirs = KeyIssuer::open(&path("theirs")).expect("authority");
     ours.issue_host("server", 30, &path("server")).expect("issued");
     ours.issue_host("trusted", 30, &path("trusted")).expect("issued");
     ours.issue_host("expired", -1, &path("expired")).expect("issued");
@@ -99,9 +99,9 @@
     let folder = tempdir().expect("folder");
     let error = TlsMaterial::load(folder.path()).expect_err("no files").to_string();
     assert!(error.contains("host-authority.pem"), "{error}");
-    let forge = KeyForge::open(&folder.path().join("authority")).expect("authority");
+    let issuer = KeyIssuer::open(&folder.path().join("authority")).expect("authority");
     let keys = folder.path().join("keys");
-    forge.issue_host("host", 30, &keys).expect("issued");
+    issuer.issue_host("host", 30, &keys).expect("issued");
     std::fs::write(keys.join("private.key"), "nonsense").expect("written");
     let error = TlsMaterial::load(&keys).expect_err("bad key").to_string();
     assert!(error.contains("private.key"), "{error}");
--- a/crates/testkit/src/process_group.rs
+++ b/crates/testkit/src/process_group.rs
@@ -1,6 +1,6 @@
 //! A group of real daemon processes on loopback, for tests of kills and freezes.
 
-use peer::KeyForge;
+use peer::KeyIssuer;
 use std::{
     fs, io,
     net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket},
@@ -56,7 +56,7 @@
     pub fn start(settings: GroupSettings) -> io::Result<Self> {
         let count = settings.replicas.max(settings.entries);
         let authority = settings.folder.join("authority");
-        let forge = KeyForge::open(&authority).map_err(io::Error::other)?;
+        let forge = KeyIssuer::open(&authority).map_err(io::Error::other)?;
         let operator = settings.folder.join("operator");
         forge.issue_operator("operator", 30, &operator).map_err(io::Error::other)?;
         let mut processes = Vec::with_capacity(count);
