--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -4,7 +4,7 @@
 use consensus::{CoreSettings, MemberRole, ReplicaId};
 use follow::LeaderClient;
 use hawthornhill_control::{MembershipManager, MembershipSettings, seed_identity};
-use peer::{PeerAnswer, PeerHandler, PeerLink, PeerRequest, PeerTarget, StreamNode};
+use peer::{PeerAnswer, PeerHandler, PeerLink, PeerRequest, PeerTarget, TcpNode};
 use replica::{
     FileStore, LEADER_WAIT, ReplicaHandle, ReplicaSettings, ReplicaStatus, start_replica,
 };
@@ -45,7 +45,7 @@
         let host: HostName = format!("core-{}", address.port()).parse().expect("name");
         let timeline = EventTimeline::new(host.as_str());
         let counters = MetricsRegistry::default().decisions("x", "x");
-        let node = StreamNode::new(host.clone(), timeline.clone(), counters.clone());
+        let node = TcpNode::new(host.clone(), timeline.clone(), counters.clone());
         let link: Arc<dyn PeerLink> = Arc::new(node.clone());
         let target = |address: &SocketAddr| PeerTarget { host: host.clone(), address: *address };
         let targets = seeds.iter().map(target).collect();
--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -9,7 +9,7 @@
 };
 use follow::LeaderClient;
 use gateway::{GatewayDependencies, GatewayNode, GatewaySettings};
-use peer::{PeerLink, PeerTarget, StreamNode};
+use peer::{PeerLink, PeerTarget, TcpNode};
 use platform::{
     BootFile, BootSettings, PlatformDialect, serve_control, serve_directory, serve_ready,
 };
@@ -62,7 +62,7 @@
     timeline: EventTimeline,
     logger: Logger,
     timer: TimerService,
-    node: Arc<StreamNode>,
+    node: Arc<TcpNode>,
     leader: Arc<LeaderClient>,
     roles: Arc<RoleHandler>,
 }
@@ -133,7 +133,7 @@
         let timeline = EventTimeline::new(settings.host.as_str());
         let logger = root_logger(LogFormat::Json, settings.host.as_str());
         let links = metrics.decisions("links", "Links between processes");
-        let node = StreamNode::new(settings.host.clone(), timeline.clone(), links);
+        let node = TcpNode::new(settings.host.clone(), timeline.clone(), links);
         let link: Arc<dyn PeerLink> = Arc::new(node.clone());
         let leader = Arc::new(LeaderClient::new(link, peer_targets(&settings.seeds)));
         warn!(logger, "links between processes are plain TCP: no keys are set up here");
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -26,5 +26,5 @@
 pub use node::{LinkTraffic, PeerNode};
 pub use packing::PackedView;
 pub use reach::{ATTEMPT_PERIOD, connect_repeatedly};
-pub use stream_node::StreamNode;
+pub use stream_node::TcpNode;
 pub use tls::{TlsMaterial, operator_client_config, operator_server_config};
--- a/crates/peer/src/stream_node.rs
+++ b/crates/peer/src/stream_node.rs
@@ -72,7 +72,7 @@
 type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// Opens and accepts TCP links for one process.
-pub struct StreamNode {
+pub struct TcpNode {
     host: HostName,
     links: Mutex<HashMap<SocketAddr, mpsc::Sender<OutgoingFrame>>>,
     next_id: AtomicU64,
@@ -80,7 +80,7 @@
     counters: DecisionCounters,
 }
 
-impl StreamNode {
+impl TcpNode {
     /// Creates a node that sends `host` as its name to its peers.
     pub fn new(host: HostName, timeline: EventTimeline, counters: DecisionCounters) -> Arc<Self> {
         let (links, next_id) = (Mutex::default(), AtomicU64::new(1));
@@ -279,7 +279,7 @@
 }
 
 #[async_trait]
-impl PeerLink for Arc<StreamNode> {
+impl PeerLink for Arc<TcpNode> {
     async fn call(
         &self,
         target: &PeerTarget,
--- a/crates/peer/tests/stream.rs
+++ b/crates/peer/tests/stream.rs
@@ -2,7 +2,7 @@
 
 use async_trait::async_trait;
 use hawthornhill_peer::{
-    PeerAnswer, PeerError, PeerHandler, PeerLink, PeerRequest, PeerTarget, StreamNode,
+    PeerAnswer, PeerError, PeerHandler, PeerLink, PeerRequest, PeerTarget, TcpNode,
 };
 use runtime::{EventTimeline, MetricsRegistry};
 use std::{sync::Arc, time::Duration};
@@ -28,9 +28,9 @@
     }
 }
 
-fn node(name: &str) -> Arc<StreamNode> {
+fn node(name: &str) -> Arc<TcpNode> {
     let counters = MetricsRegistry::default().decisions("links", "links");
-    StreamNode::new(name.parse().expect("name"), EventTimeline::new(name), counters)
+    TcpNode::new(name.parse().expect("name"), EventTimeline::new(name), counters)
 }
 
 async fn serving() -> PeerTarget {
