--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -5,7 +5,7 @@
 use consensus::{Member, MembershipChange};
 use follow::{LeaderClient, SubmitResult};
 use operator::{BackendError, EntryPage, OperatorBackend, ServerRow, StatusPage, ViewPage};
-use peer::PeerNode;
+use peer::QuicNode;
 use policy::ServerView;
 use runtime::{EventRecord, EventTimeline, TimelineFilter};
 use std::{
@@ -27,7 +27,7 @@
     pub(crate) domain: DomainName,
     pub(crate) peer_address: SocketAddr,
     pub(crate) roles: Arc<RoleHandler>,
-    pub(crate) node: Arc<PeerNode>,
+    pub(crate) node: Arc<QuicNode>,
     pub(crate) leader: LeaderClient,
     pub(crate) timeline: EventTimeline,
 }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -7,7 +7,7 @@
 use entry::{EntryContext, EntryNode, EntrySettings};
 use follow::LeaderClient;
 use operator::serve_operators;
-use peer::{PeerLink, PeerNode, PeerTarget, TlsMaterial};
+use peer::{PeerLink, PeerTarget, QuicNode, TlsMaterial};
 use policy::{AdmissionSettings, LatencySelector, LoadSettings};
 use rand::random;
 use replica::{FileStore, LEADER_WAIT, ReplicaSettings, start_replica};
@@ -31,7 +31,7 @@
 /// A running process.
 pub struct DaemonProcess {
     logger: Logger,
-    node: Arc<PeerNode>,
+    node: Arc<QuicNode>,
     roles: Arc<RoleHandler>,
 }
 
@@ -43,7 +43,7 @@
     timeline: EventTimeline,
     logger: Logger,
     timer: TimerService,
-    node: Arc<PeerNode>,
+    node: Arc<QuicNode>,
     roles: Arc<RoleHandler>,
 }
 
@@ -87,7 +87,7 @@
         let timeline = EventTimeline::new(settings.name.as_str());
         let logger = root_logger(settings.log_format, settings.name.as_str());
         let counters = metrics.decisions("links", "Links between processes");
-        let node = PeerNode::bind(settings.peer_address, &material, timeline.clone(), counters)
+        let node = QuicNode::bind(settings.peer_address, &material, timeline.clone(), counters)
             .context("peer_address")?;
         let timer = TimerService::start();
         let roles = Arc::new(RoleHandler::default());
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -23,7 +23,7 @@
     ConsensusMessage, FreshnessAnswer, FreshnessGrant, FreshnessRequest, PeerAnswer, PeerRequest,
     ReadIndexRequest, SubmitAnswer, ViewTransfer, replicas_digest,
 };
-pub use node::{LinkTraffic, PeerNode};
+pub use node::{LinkTraffic, QuicNode};
 pub use packing::PackedView;
 pub use reach::{ATTEMPT_PERIOD, connect_repeatedly};
 pub use stream_node::TcpNode;
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -61,7 +61,7 @@
 type ConnectionSlot = Arc<tokio::sync::Mutex<Option<Connection>>>;
 
 /// Opens and accepts QUIC links for one process.
-pub struct PeerNode {
+pub struct QuicNode {
     endpoint: Endpoint,
     timeline: EventTimeline,
     counters: DecisionCounters,
@@ -70,7 +70,7 @@
     queues: Mutex<HashMap<PeerTarget, mpsc::Sender<PeerRequest>>>,
 }
 
-impl PeerNode {
+impl QuicNode {
     /// Binds the UDP socket of the process. Port 0 selects a free port.
     ///
     /// # Errors
@@ -310,7 +310,7 @@
 }
 
 #[async_trait]
-impl PeerLink for Arc<PeerNode> {
+impl PeerLink for Arc<QuicNode> {
     async fn call(
         &self,
         target: &PeerTarget,
--- a/crates/peer/tests/tls.rs
+++ b/crates/peer/tests/tls.rs
@@ -2,7 +2,7 @@
 
 use async_trait::async_trait;
 use hawthornhill_peer::{
-    KeyIssuer, PeerAnswer, PeerError, PeerHandler, PeerLink, PeerNode, PeerRequest, PeerTarget,
+    KeyIssuer, PeerAnswer, PeerError, PeerHandler, PeerLink, PeerRequest, PeerTarget, QuicNode,
     TlsMaterial,
 };
 use runtime::{DecisionCounters, EventTimeline, MetricsRegistry};
@@ -19,17 +19,17 @@
     }
 }
 
-fn node(folder: &Path) -> (Arc<PeerNode>, DecisionCounters) {
+fn node(folder: &Path) -> (Arc<QuicNode>, DecisionCounters) {
     let material = TlsMaterial::load(folder).expect("keys");
     let counters = MetricsRegistry::default().decisions("links", "test");
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let timeline = EventTimeline::new("test");
-    let node = PeerNode::bind(address, &material, timeline, counters.clone()).expect("binds");
+    let node = QuicNode::bind(address, &material, timeline, counters.clone()).expect("binds");
     (node, counters)
 }
 
 async fn call(
-    from: &Arc<PeerNode>,
+    from: &Arc<QuicNode>,
     host: &str,
     address: SocketAddr,
 ) -> Result<PeerAnswer, PeerError> {
