--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,4 +1,4 @@
-//! Link errors.
+//! Errors of links between processes.
 
 use crate::KeyError;
 use std::net::SocketAddr;
@@ -11,23 +11,23 @@
     /// message was not delivered.
     #[error("{address}: not reached: {reason}")]
     NotReached {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The reason.
+        /// Cause of the failure.
         reason: String,
     },
     /// The connection failed during the exchange. The message may have been delivered.
     #[error("{address}: broken off: {reason}")]
     ConnectionLost {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The reason.
+        /// Cause of the failure.
         reason: String,
     },
     /// The answer did not arrive in time. The message may have been delivered.
     #[error("{address}: no answer within {timeout_ms} ms")]
     TimedOut {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
         /// The timeout, in milliseconds.
         timeout_ms: u64,
@@ -43,7 +43,7 @@
     Bind {
         /// The local address.
         address: SocketAddr,
-        /// The reason.
+        /// Cause of the failure.
         reason: String,
     },
     /// The key files cannot be used.
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -29,17 +29,17 @@
     /// A file cannot be read or written.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
     /// A file contains no usable key or certificate.
     #[error("{path}: {reason}")]
     Content {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The reason.
+        /// Description of the problem.
         reason: String,
     },
     /// A key or certificate could not be generated.
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -33,6 +33,12 @@
 /// Maximum number of concurrent requests on one connection; further requests wait. Bounded because
 /// the QUIC library reserves memory for each stream.
 const MAX_STREAMS: u32 = 256;
+/// Maximum number of concurrent streams of messages without answer on one connection.
+const MAX_MESSAGE_STREAMS: u32 = 8;
+/// Round-trip time assumed for a new connection.
+const INITIAL_RTT: Duration = Duration::from_millis(10);
+/// Delay before the message stream to a peer is reopened after a failure.
+const REOPEN_DELAY: Duration = Duration::from_millis(50);
 
 /// Bytes of UDP payload exchanged on all links of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -303,7 +309,7 @@
             if self.send_queued(&target, &mut queue).await.is_err() {
                 self.counters.count("link-broken");
                 while queue.try_recv().is_ok() {}
-                tokio::time::sleep(Duration::from_millis(50)).await;
+                tokio::time::sleep(REOPEN_DELAY).await;
             }
         }
     }
@@ -345,8 +351,8 @@
         .max_idle_timeout(Some(VarInt::from_u32(IDLE_TIMEOUT_MS).into()))
         .keep_alive_interval(Some(KEEP_ALIVE))
         .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS))
-        .max_concurrent_uni_streams(VarInt::from_u32(8))
-        .initial_rtt(Duration::from_millis(10));
+        .max_concurrent_uni_streams(VarInt::from_u32(MAX_MESSAGE_STREAMS))
+        .initial_rtt(INITIAL_RTT);
     transport
 }
 
--- a/crates/peer/src/stream_node.rs
+++ b/crates/peer/src/stream_node.rs
@@ -53,6 +53,12 @@
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time after which an unused connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay before the next accept after a failed one.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Idle time before the first TCP keepalive probe, and interval between probes.
+const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
+/// Unanswered TCP keepalive probes after which the kernel closes the connection.
+const KEEPALIVE_RETRIES: u32 = 2;
 
 #[derive(Debug, Serialize, Deserialize)]
 enum StreamFrame {
@@ -100,7 +106,7 @@
                 }
                 Err(_) => {
                     self.counters.count("accept-failed");
-                    tokio::time::sleep(Duration::from_millis(20)).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -328,8 +334,8 @@
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(Duration::from_secs(1))
-        .with_interval(Duration::from_secs(1))
-        .with_retries(2);
+        .with_time(KEEPALIVE_PERIOD)
+        .with_interval(KEEPALIVE_PERIOD)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/replica/src/driver/relays.rs
+++ b/crates/replica/src/driver/relays.rs
@@ -29,15 +29,15 @@
 /// Entry requests that wait for a read index from the leader.
 pub(super) struct RelayQueue {
     inputs: mpsc::WeakSender<ReplicaInput>,
-    /// Wait for the next read index request.
+    /// Requests that wait for the next read index request.
     queued: Vec<PendingFreshness>,
-    /// Covered by the read index request in flight.
+    /// Requests covered by the read index request in flight.
     in_flight: Vec<PendingFreshness>,
     has_request_in_flight: bool,
     last_request: Option<Instant>,
     /// Time of the last report to the leader about each entry.
     last_reports: HashMap<EntryName, Instant>,
-    /// Wait until the log is applied up to their read index.
+    /// Requests that wait until the log is applied up to their read index.
     awaiting_apply: Vec<(LogIndex, PendingFreshness)>,
 }
 
@@ -120,7 +120,8 @@
                 self.serve_relays();
             }
             None => {
-                // The leader may not have received the reports in this request.
+                // The leader may not have received the reports in this request, or may have been
+                // replaced, so all reports are due again.
                 self.relays.last_reports.clear();
                 self.settings.counters.count("read-index-failed");
                 in_flight.into_iter().for_each(|pending| self.redirect_to_leader(pending));
--- a/crates/replica/src/entry_leases.rs
+++ b/crates/replica/src/entry_leases.rs
@@ -33,7 +33,7 @@
         self.contacts.insert(entry.clone(), EntryContact { last_seen: now, version });
     }
 
-    /// Returns an entry's view version and the time started the last contact with it.
+    /// Returns an entry's view version and the time since the last contact with it.
     pub(crate) fn last_contact(
         &self,
         entry: &EntryName,
@@ -59,7 +59,7 @@
 
     /// Returns the commands that remove entries with an expired lease.
     pub(crate) fn expirations(&self, view: &ClusterView, now: Instant) -> Vec<Command> {
-        let is_silent = |entry: &&EntryInfo| {
+        let is_expired = |entry: &&EntryInfo| {
             let contact = self.contacts.get(&entry.name);
             let last_seen =
                 contact.map_or(self.started, |contact| contact.last_seen.max(self.started));
@@ -67,7 +67,7 @@
         };
         let mut commands: Vec<Command> = view
             .entries()
-            .filter(is_silent)
+            .filter(is_expired)
             .map(|entry| Command::RemoveEntry(entry.name.clone(), entry.incarnation))
             .collect();
         if !commands.is_empty() {
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -83,7 +83,7 @@
     pub async fn handle(&self, host: &HostName, request: PeerRequest) -> Option<PeerAnswer> {
         match request {
             PeerRequest::Consensus(message) => {
-                // Fails if the replica has stopped; consensus tolerates lost messages.
+                // Consensus resends messages that a stopped or overloaded replica loses.
                 let _ = self.inputs.send(ReplicaInput::Message(message)).await;
                 Some(PeerAnswer::Done)
             }
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -13,7 +13,8 @@
     pub is_initialised: bool,
     /// Whether the replica is the leader.
     pub is_leader: bool,
-    /// Whether writes to the disk fail, in which case the replica rejects all requests.
+    /// Whether writes to the disk fail, in which case the replica rejects requests and takes no part
+    /// in consensus.
     pub is_stalled: bool,
     /// Current term.
     pub term: u64,
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -27,16 +27,16 @@
     /// A file cannot be read, written or synced. A retry may succeed.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
     /// A file is damaged, other than by a torn last record of the log, or does not match the other
     /// files of the folder.
     #[error("{path}: damaged at offset {offset}: {reason}")]
     Damaged {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Offset at which the damage was found, in bytes.
         offset: u64,
@@ -46,7 +46,7 @@
     /// Another process uses the folder.
     #[error("{path}: another process uses this data folder")]
     InUse {
-        /// The lock file.
+        /// Path of the lock file.
         path: PathBuf,
     },
 }
