--- a/crates/peer/src/tls.rs
+++ b/crates/peer/src/tls.rs
@@ -9,7 +9,7 @@
 use std::{path::Path, sync::Arc};
 use types::HostName;
 
-/// ALPN protocol name of links.
+/// ALPN protocol name, which both ends of a link must offer.
 const LINK_PROTOCOL: &[u8] = b"hawthornhill/1";
 
 /// The loaded keys and certificates of a process or an operator.
--- a/crates/replica/src/driver/relays.rs
+++ b/crates/replica/src/driver/relays.rs
@@ -26,10 +26,10 @@
 /// lease.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Entry requests that wait for a read index from the leader.
+/// Entry requests that this follower serves with a read index from the leader.
 pub(super) struct RelayQueue {
     inputs: mpsc::WeakSender<ReplicaInput>,
-    /// Requests that wait for the next read index request.
+    /// Requests that arrived after the read index request in flight was sent.
     queued: Vec<PendingFreshness>,
     /// Requests covered by the read index request in flight.
     in_flight: Vec<PendingFreshness>,
@@ -135,7 +135,7 @@
         let is_ready = |(index, _): &mut (LogIndex, PendingFreshness)| *index <= applied;
         let ready: Vec<_> = self.relays.awaiting_apply.extract_if(.., is_ready).collect();
         ready.into_iter().for_each(|(_, pending)| self.send_grant(pending));
-        // Drop requests whose entries have stopped waiting.
+        // Drops requests whose entries have stopped waiting.
         self.relays.awaiting_apply.retain(|(_, pending)| !pending.reply.is_closed());
     }
 
