--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,8 @@
-//! Links between the system's own processes: QUIC with mutual TLS, typed messages.
+//! Links between the system's own processes: typed messages over QUIC with mutual TLS, or over
+//! plain TCP on trusted networks.
 //!
-//! Parts use the [`PeerLink`] and [`PeerHandler`] traits, so that tests can cut a link without a
-//! network.
+//! Other crates use the [`PeerLink`] and [`PeerHandler`] traits, so that tests can simulate link
+//! failures without a network.
 
 mod error;
 mod frame;
@@ -16,14 +17,14 @@
 
 pub use error::PeerError;
 pub use frame::{MAX_FRAME_BYTES, decode_frame, encode_frame};
-pub use keys::{KeyError, KeyFiles, KeyForge};
+pub use keys::{KeyError, KeyFiles, KeyIssuer};
 pub use link::{PeerHandler, PeerLink, PeerTarget};
 pub use message::{
     ConsensusMessage, FreshnessAnswer, FreshnessGrant, FreshnessRequest, PeerAnswer, PeerRequest,
     ReadIndexRequest, SubmitAnswer, ViewTransfer, replicas_digest,
 };
-pub use node::{LinkTraffic, PeerNode};
+pub use node::{LinkTraffic, QuicNode};
 pub use packing::PackedView;
-pub use reach::{ATTEMPT_PERIOD, reach};
-pub use stream_node::StreamNode;
+pub use reach::{ATTEMPT_PERIOD, connect_repeatedly};
+pub use stream_node::TcpNode;
 pub use tls::{TlsMaterial, operator_client_config, operator_server_config};
