--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a process runs on: settings, clock and timers, logs, metrics, and the time
-//! line of events.
+//! Services used by all parts of a process: settings, clock and timers, logging, metrics, and the
+//! event timeline.
 
 mod logging;
 mod metrics;
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -1,23 +1,23 @@
-//! Structured logs: JSON lines on standard output, or lines for people on standard error.
+//! Structured logging: JSON lines on standard output, or human-readable lines on standard error.
 
 use serde::{Deserialize, Serialize};
 use slog::{Drain, Logger, o};
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text on standard error.
     #[default]
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line on standard output.
     Json,
 }
 
-/// Lines that may wait to be written in JSON form.
-const JSON_QUEUE_LIMIT: usize = 2_048;
+/// Maximum number of queued log lines in JSON format.
+const MAX_QUEUED_JSON_LINES: usize = 2_048;
 
-/// Returns the logger that all parts of the process derive theirs from.
+/// Returns the root logger of a process, from which its components derive their loggers.
 pub fn root_logger(format: LogFormat, process: &str) -> Logger {
     let drain = match format {
         LogFormat::Terminal => {
@@ -27,8 +27,8 @@
         }
         LogFormat::Json => {
             let drain = slog_json::Json::default(std::io::stdout()).fuse();
-            // Lines that do not fit are dropped and counted, so that logging never blocks.
-            slog_async::Async::new(drain).chan_size(JSON_QUEUE_LIMIT).build().fuse()
+            // If the queue is full, lines are dropped and counted, so that logging never blocks.
+            slog_async::Async::new(drain).chan_size(MAX_QUEUED_JSON_LINES).build().fuse()
         }
     };
     Logger::root(drain, o!("process" => process.to_owned()))
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters in the Prometheus text format.
+//! Metrics in the Prometheus text format.
 
 use parking_lot::Mutex;
 use prometheus_client::{
@@ -15,7 +15,7 @@
 
 type DecisionLabels = [(&'static str, &'static str); 1];
 
-/// Counters of the decisions of one part, one for each decision.
+/// Counters of a component's decisions, one for each value of the label `decision`.
 #[derive(Debug, Clone, Default)]
 pub struct DecisionCounters {
     family: Family<DecisionLabels, Counter>,
@@ -27,7 +27,7 @@
         self.family.get_or_create(&[("decision", decision)]).inc();
     }
 
-    /// Returns how often a decision was taken.
+    /// Returns how often a decision was counted.
     pub fn get(&self, decision: &'static str) -> u64 {
         self.family.get_or_create(&[("decision", decision)]).get()
     }
@@ -46,7 +46,7 @@
 }
 
 impl MetricsRegistry {
-    /// Registers the counters of one part.
+    /// Registers the decision counters of a component.
     pub fn decisions(&self, name: &str, help: &str) -> DecisionCounters {
         let counters = DecisionCounters::default();
         self.registry.lock().register(name, help, counters.family.clone());
@@ -67,7 +67,7 @@
         histogram
     }
 
-    /// Returns the metrics page.
+    /// Returns all metrics in the Prometheus text format.
     pub fn page(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry.lock()) {
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process, read from TOML and checked field by field.
+//! The settings of a process, parsed from TOML and validated field by field.
 
 use crate::LogFormat;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 use thiserror::Error;
 use types::{DomainName, HostName};
 
-/// All keys of the settings file, for suggestions.
+/// All keys of the settings file, from which [`suggest_key`] chooses.
 const KNOWN_KEYS: &[&str] = &[
     "name",
     "failure_domain",
@@ -32,23 +32,23 @@
     "address",
 ];
 
-/// What a process does.
+/// A role of a process. A process may have several.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProcessRole {
-    /// Serves callers.
+    /// Forwards callers' requests to servers.
     Entry,
-    /// Keeps the replicated state.
+    /// Stores the replicated state.
     Replica,
 }
 
-/// Where a replica is reached.
+/// Host and address of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaAddress {
     /// Host name, as in its certificate.
     pub host: HostName,
-    /// IP number and port (QUIC over UDP).
+    /// IP address and port (QUIC over UDP).
     pub address: SocketAddr,
 }
 
@@ -62,72 +62,72 @@
     pub failure_domain: DomainName,
     /// Roles of the process.
     pub roles: Vec<ProcessRole>,
-    /// Folder with all files of the process; needed for the replica role.
+    /// Folder with all files of the process; required for the replica role.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
-    /// Folder with the keys made by `hawthornctl keys`.
+    /// Folder with the keys that `hawthornctl keys` created.
     pub key_folder: PathBuf,
-    /// Where other processes connect (QUIC over UDP).
+    /// Address for connections from other processes (QUIC over UDP).
     pub peer_address: SocketAddr,
-    /// Where callers connect (HTTP); needed for the entry role.
+    /// Address for callers (HTTP); needed for the entry role.
     #[serde(default = "loopback_any")]
     pub caller_address: SocketAddr,
-    /// Where servers announce themselves (HTTP); needed for the entry role.
+    /// Address for announcements of servers (HTTP); needed for the entry role.
     #[serde(default = "loopback_any")]
     pub server_address: SocketAddr,
-    /// Where operators connect (HTTPS with client certificates).
+    /// Address for operators (HTTPS with client certificates).
     pub operator_address: SocketAddr,
-    /// Where the metrics page is (HTTP).
+    /// Address of the metrics page (HTTP).
     #[serde(default = "loopback_any")]
     pub metrics_address: SocketAddr,
-    /// Replicas that an entry asks first; it learns of others from them.
+    /// Replicas that an entry contacts first; they send it the addresses of the others.
     pub replicas: Vec<ReplicaAddress>,
-    /// Form of log lines.
+    /// Format of log lines.
     #[serde(default)]
     pub log_format: LogFormat,
-    /// Worker threads, 1 to 256.
+    /// Number of worker threads, 1 to 256.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Requests in flight and waiting at an entry, 1 to 1,000,000.
+    /// Maximum number of requests in flight and waiting at an entry, 1 to 1,000,000.
     #[serde(default = "default_max_in_flight")]
     pub max_in_flight: usize,
-    /// How long callers may keep the directory's answer, in seconds, 1 to 600.
+    /// How long callers may cache an answer of the directory, in seconds, 1 to 600.
     #[serde(default = "default_directory_max_age_s")]
     pub directory_max_age_s: u64,
-    /// Longest wait for requests in flight at a planned stop, after the directory's answers have run
-    /// out, in seconds, 1 to 600.
+    /// Maximum time that a planned stop waits for requests in flight once the cached answers of the
+    /// directory have expired, in seconds, 1 to 600.
     #[serde(default = "default_stop_grace_s")]
     pub stop_grace_s: u64,
-    /// The greatest body of a request, in bytes, 1,024 to 16,777,216.
+    /// Maximum size of a request body, in bytes, 1,024 to 16,777,216.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: usize,
 }
 
-/// Says what is wrong with a settings file.
+/// The reason why settings are not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
-    #[error("{path}: {reason}")]
+    #[error("cannot read {path}: {reason}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The system's reason.
+        /// The I/O error.
         reason: String,
     },
     /// The text is not valid TOML, or a field is unknown, missing or of the wrong type.
     #[error("{reason}{suggestion}")]
     Syntax {
-        /// Line and reason.
+        /// Position and description of the error.
         reason: String,
-        /// What may have been meant.
+        /// The known key that was probably meant, or empty.
         suggestion: String,
     },
     /// A value is out of range or missing for a role.
     #[error("field {field}: {reason}")]
     Field {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong.
+        /// Why the value is not valid.
         reason: String,
     },
 }
@@ -161,7 +161,7 @@
 }
 
 impl ProcessSettings {
-    /// Reads and checks a settings file.
+    /// Reads, parses and validates a settings file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|error| SettingsError::File {
             path: path.display().to_string(),
@@ -170,7 +170,7 @@
         Self::parse(&text)
     }
 
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|error| {
             let reason = error.to_string().trim_end().to_owned();
@@ -181,12 +181,12 @@
         Ok(settings)
     }
 
-    /// Says whether the process has a role.
+    /// Returns whether the process has a role.
     pub fn has_role(&self, role: ProcessRole) -> bool {
         self.roles.contains(&role)
     }
 
-    /// Checks ranges, and that each role has what it needs.
+    /// Checks that each value is in range and that the settings required for each role are present.
     pub fn verify(&self) -> Result<(), SettingsError> {
         if self.roles.is_empty() {
             return Err(field_error("roles", "is empty".to_owned()));
@@ -195,7 +195,7 @@
             return Err(field_error("replicas", "is empty".to_owned()));
         }
         if self.has_role(ProcessRole::Replica) && self.data_folder.is_none() {
-            return Err(field_error("data_folder", "is needed for the replica role".to_owned()));
+            return Err(field_error("data_folder", "is required for the replica role".to_owned()));
         }
         check_range("threads", self.threads, 1, 256)?;
         check_range("max_in_flight", self.max_in_flight, 1, 1_000_000)?;
@@ -245,7 +245,8 @@
     1024 * 1024
 }
 
-/// Returns a hint with the known key nearest to an unknown one that the reason names.
+/// Returns a hint if `reason` names an unknown key: the known key with the smallest edit distance,
+/// unless that exceeds half the length of the unknown key.
 fn suggest_key(reason: &str) -> String {
     let Some(unknown) = reason.split("unknown field `").nth(1).and_then(|r| r.split('`').next())
     else {
@@ -260,16 +261,16 @@
     }
 }
 
-/// Returns the Levenshtein distance of two keys.
+/// Returns the Levenshtein distance of two keys, in bytes.
 fn edit_distance(left: &str, right: &str) -> usize {
     let mut row: Vec<usize> = (0..=right.len()).collect();
     for (i, a) in left.bytes().enumerate() {
         let mut diagonal = row[0];
         row[0] = i + 1;
         for (j, b) in right.bytes().enumerate() {
-            let replaced = diagonal + usize::from(a != b);
+            let substituted = diagonal + usize::from(a != b);
             diagonal = row[j + 1];
-            row[j + 1] = replaced.min(row[j] + 1).min(row[j + 1] + 1);
+            row[j + 1] = substituted.min(row[j] + 1).min(row[j + 1] + 1);
         }
     }
     row[right.len()]
--- a/crates/runtime/src/timeline.rs
+++ b/crates/runtime/src/timeline.rs
@@ -1,27 +1,28 @@
-//! The time line: events with hybrid logical time in a bounded ring.
+//! The event timeline: a bounded ring buffer of events with hybrid logical timestamps.
 //!
-//! Hybrid logical time (Kulkarni et al., 2014) follows the wall clock and is carried by every
-//! message between processes, so that merged events stand in causal order.
+//! A hybrid logical clock (Kulkarni et al., 2014) follows the wall clock, and its time is sent with
+//! every message between processes. The merged events of all processes are thus in causal order.
 
 use crate::wall_clock_ms;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use std::{collections::VecDeque, fmt, sync::Arc};
 
-/// The number of events that a process remembers.
-const RING_LIMIT: usize = 16_384;
+/// Maximum number of events that a process keeps; the oldest are discarded.
+const MAX_EVENTS: usize = 16_384;
 
-/// Wall clock with a counter for events within one millisecond.
+/// Hybrid logical time: the wall clock, and a counter that orders events within one millisecond.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HybridTime {
     /// Milliseconds since the Unix epoch.
     pub wall_ms: u64,
-    /// Order within the millisecond.
+    /// Order of the event within the millisecond.
     pub counter: u32,
 }
 
 impl HybridTime {
-    /// Returns the time of the next local event.
+    /// Returns the time of the next local event: `wall_ms` if it is later than `self`, or else the
+    /// time of `self` with the next counter.
     fn next(self, wall_ms: u64) -> Self {
         if wall_ms > self.wall_ms {
             Self { wall_ms, counter: 0 }
@@ -33,7 +34,7 @@
 
 macro_rules! event_kinds {
     ($($(#[$doc:meta])* $kind:ident = $text:literal,)*) => {
-        /// What happened.
+        /// The kind of an event.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "kebab-case")]
         pub enum EventKind {
@@ -41,7 +42,7 @@
         }
 
         impl EventKind {
-            /// Returns the name used on pages.
+            /// Returns the name used in output and in serialized events.
             pub fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$kind => $text,)*
@@ -52,43 +53,43 @@
 }
 
 event_kinds! {
-    /// An entry took a request in.
+    /// An entry received a request.
     CallReceived = "call-received",
     /// An entry sent a request to a server.
     CallSent = "call-sent",
-    /// A try failed and another follows.
+    /// An attempt failed and the entry retries the request.
     CallRetried = "call-retried",
-    /// An entry sent a second copy of a repeatable request.
+    /// An entry hedged: it sent a second copy of an idempotent request.
     CallHedged = "call-hedged",
-    /// An entry handed a request over to another entry.
+    /// An entry forwarded a request to another entry.
     CallForwarded = "call-forwarded",
     /// An entry answered a request.
     CallAnswered = "call-answered",
-    /// A claim was asked for and decided.
+    /// A request for a claim was decided.
     ClaimDecided = "claim-decided",
-    /// A claim was given up.
+    /// A claim was released.
     ClaimReleased = "claim-released",
-    /// A change of the configuration was decided.
+    /// A configuration change was decided.
     ChangeDecided = "change-decided",
-    /// A change came into force at an entry.
+    /// A configuration change took effect at an entry.
     ChangeInForce = "change-in-force",
-    /// An entry opened to new work or closed.
+    /// An entry opened to new work.
     EntryOpened = "entry-opened",
     /// An entry closed to new work.
     EntryClosed = "entry-closed",
-    /// A replica began to lead.
+    /// A replica became the leader.
     LeaderElected = "leader-elected",
-    /// A replica stopped leading.
+    /// A replica ceased to be the leader.
     LeaderLost = "leader-lost",
     /// The set of replicas changed.
     MembershipChanged = "membership-changed",
-    /// A server announced another state.
+    /// A server announced a different state.
     ServerAnnounced = "server-announced",
     /// A server became warm.
     ServerWarm = "server-warm",
-    /// A server left, or its lease ran out.
+    /// A server departed, or its lease expired.
     ServerGone = "server-gone",
-    /// A server was found slow, failing or cold without warning.
+    /// A server was found to be slow, failing, or cold without an announcement.
     ServerSuspected = "server-suspected",
     /// A process began its planned stop.
     StopBegun = "stop-begun",
@@ -100,7 +101,7 @@
     }
 }
 
-/// What an event is about.
+/// The objects that an event concerns, by which events are selected.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventTags {
     /// Request id.
@@ -120,22 +121,22 @@
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventRecord {
-    /// When it happened.
+    /// When the event happened.
     pub time: HybridTime,
-    /// The process that saw it.
+    /// The process that recorded the event.
     pub process: Arc<str>,
-    /// What happened.
+    /// Kind of the event.
     pub kind: EventKind,
-    /// What it is about.
+    /// The objects that the event concerns.
     pub tags: EventTags,
-    /// Details for people.
+    /// Details in human-readable form.
     pub detail: String,
 }
 
-/// Selects events.
+/// A filter for events. A field that is `None` matches all events.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimelineFilter {
-    /// Only events after this wall time, in milliseconds since the Unix epoch.
+    /// Only events at or after this wall-clock time, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub since_ms: u64,
     /// Only events of this request.
@@ -149,20 +150,21 @@
 }
 
 impl TimelineFilter {
-    /// Says whether an event is selected.
+    /// Returns whether the filter selects an event.
     pub fn matches(&self, event: &EventRecord) -> bool {
-        let is_same =
+        let is_match =
             |wanted: &Option<String>, found: &Option<String>| wanted.is_none() || wanted == found;
         event.time.wall_ms >= self.since_ms
-            && is_same(&self.request, &event.tags.request)
-            && is_same(&self.change, &event.tags.change)
-            && is_same(&self.server, &event.tags.server)
-            && is_same(&self.domain, &event.tags.domain)
+            && is_match(&self.request, &event.tags.request)
+            && is_match(&self.change, &event.tags.change)
+            && is_match(&self.server, &event.tags.server)
+            && is_match(&self.domain, &event.tags.domain)
     }
 }
 
 #[derive(Debug, Default)]
-struct EventRing {
+struct EventBuffer {
+    /// The latest time that was assigned or received.
     last: HybridTime,
     events: VecDeque<EventRecord>,
 }
@@ -171,43 +173,43 @@
 #[derive(Debug, Clone)]
 pub struct EventTimeline {
     process: Arc<str>,
-    ring: Arc<Mutex<EventRing>>,
+    buffer: Arc<Mutex<EventBuffer>>,
 }
 
 impl EventTimeline {
-    /// Returns an empty time line.
+    /// Returns an empty timeline.
     pub fn new(process: &str) -> Self {
-        Self { process: process.into(), ring: Arc::default() }
+        Self { process: process.into(), buffer: Arc::default() }
     }
 
-    /// Records an event that happens now.
+    /// Records an event at the current time.
     pub fn record(&self, kind: EventKind, tags: EventTags, detail: String) {
         let wall_ms = wall_clock_ms();
-        let mut ring = self.ring.lock();
-        let time = ring.last.next(wall_ms);
-        ring.last = time;
-        if ring.events.len() == RING_LIMIT {
-            ring.events.pop_front();
+        let mut buffer = self.buffer.lock();
+        let time = buffer.last.next(wall_ms);
+        buffer.last = time;
+        if buffer.events.len() == MAX_EVENTS {
+            buffer.events.pop_front();
         }
         let process = self.process.clone();
-        ring.events.push_back(EventRecord { time, process, kind, tags, detail });
+        buffer.events.push_back(EventRecord { time, process, kind, tags, detail });
     }
 
-    /// Returns the time to send along with a message.
+    /// Advances the clock and returns the time to send with a message.
     pub fn stamp(&self) -> HybridTime {
-        let mut ring = self.ring.lock();
-        ring.last = ring.last.next(wall_clock_ms());
-        ring.last
+        let mut buffer = self.buffer.lock();
+        buffer.last = buffer.last.next(wall_clock_ms());
+        buffer.last
     }
 
-    /// Takes over the time received with a message.
+    /// Advances the clock to the time received with a message, if that is later.
     pub fn observe(&self, time: HybridTime) {
-        let mut ring = self.ring.lock();
-        ring.last = ring.last.max(time);
+        let mut buffer = self.buffer.lock();
+        buffer.last = buffer.last.max(time);
     }
 
     /// Returns the selected events, oldest first.
     pub fn select(&self, filter: &TimelineFilter) -> Vec<EventRecord> {
-        self.ring.lock().events.iter().filter(|event| filter.matches(event)).cloned().collect()
+        self.buffer.lock().events.iter().filter(|event| filter.matches(event)).cloned().collect()
     }
 }
--- a/crates/runtime/src/timer.rs
+++ b/crates/runtime/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service: parts subscribe to a period and are told the time at each tick.
+//! The timer service: subscribers choose a period and receive the current time at each tick.
 //!
 //! One task serves all subscriptions. Ticks that a slow subscriber misses are dropped, not queued.
 
@@ -25,11 +25,13 @@
 
 #[derive(Debug, Default)]
 struct TimerTable {
+    /// Subscriptions; `None` once the subscriber has dropped its end.
     slots: Vec<Option<TimerSlot>>,
-    due: BinaryHeap<Reverse<(Instant, usize)>>,
+    /// Time of each slot's next tick, earliest first.
+    deadlines: BinaryHeap<Reverse<(Instant, usize)>>,
 }
 
-/// Ticks of one subscription; ends the subscription when dropped.
+/// A subscription to ticks. Dropping it ends the subscription.
 #[derive(Debug)]
 pub struct TimerSubscription {
     ticks: mpsc::Receiver<Instant>,
@@ -42,7 +44,7 @@
     }
 }
 
-/// Wakes its subscribers periodically.
+/// Sends ticks to its subscribers periodically.
 #[derive(Debug, Clone)]
 pub struct TimerService {
     table: Arc<Mutex<TimerTable>>,
@@ -57,13 +59,13 @@
         service
     }
 
-    /// Subscribes to ticks with this period, the first one period from now.
+    /// Subscribes to ticks with this period. The first tick is one period from now.
     pub fn subscribe(&self, period: Duration) -> TimerSubscription {
         let (sender, ticks) = mpsc::channel(1);
         let mut table = self.table.lock();
-        let slot = table.slots.len();
+        let index = table.slots.len();
         table.slots.push(Some(TimerSlot { period, ticks: sender }));
-        table.due.push(Reverse((now() + period, slot)));
+        table.deadlines.push(Reverse((now() + period, index)));
         drop(table);
         self.changed.notify_one();
         TimerSubscription { ticks }
@@ -71,25 +73,25 @@
 }
 
 impl TimerTable {
-    /// Sends the ticks that are due. Returns when the next one is.
+    /// Sends the ticks that are due. Returns when the next one is due, if there is one.
     fn fire(&mut self, now: Instant) -> Option<Instant> {
-        while let Some(Reverse((due, slot))) = self.due.peek().copied() {
-            if due > now {
-                return Some(due);
+        while let Some(Reverse((deadline, index))) = self.deadlines.peek().copied() {
+            if deadline > now {
+                return Some(deadline);
             }
-            self.due.pop();
-            let Some(entry) = self.slots.get_mut(slot) else {
+            self.deadlines.pop();
+            let Some(slot) = self.slots.get_mut(index) else {
                 continue;
             };
-            let Some(timer) = entry else {
+            let Some(timer) = slot else {
                 continue;
             };
             if let Err(mpsc::error::TrySendError::Closed(_)) = timer.ticks.try_send(now) {
-                *entry = None;
+                *slot = None;
                 continue;
             }
-            let next = (due + timer.period).max(now);
-            self.due.push(Reverse((next, slot)));
+            let next = (deadline + timer.period).max(now);
+            self.deadlines.push(Reverse((next, index)));
         }
         None
     }
@@ -98,7 +100,8 @@
 async fn run_timers(table: Arc<Mutex<TimerTable>>, changed: Arc<Notify>) {
     loop {
         let next = table.lock().fire(now());
-        let wait = next.map_or(Duration::from_secs(1), |due| due.saturating_duration_since(now()));
+        let wait = next
+            .map_or(Duration::from_secs(1), |deadline| deadline.saturating_duration_since(now()));
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
             () = changed.notified() => {}
