--- a/crates/runtime/tests/runtime.rs
+++ b/crates/runtime/tests/runtime.rs
@@ -1,4 +1,4 @@
-//! Settings, timers, the time line and the metrics page.
+//! Tests of settings, timers, the event timeline and the metrics page.
 
 use expect_test::expect;
 use hawthornhill_runtime::{
@@ -18,7 +18,7 @@
 "#;
 
 #[test]
-fn faults_in_settings_name_the_field() {
+fn invalid_settings_are_rejected_with_the_name_of_the_field() {
     assert!(ProcessSettings::parse(MINIMAL).is_ok());
     let with = |line: &str| format!("{line}\n{MINIMAL}");
     let cases = [
@@ -38,13 +38,13 @@
         (MINIMAL.replace("key_folder = \"keys\"\n", ""), "missing field `key_folder`"),
     ];
     for (text, expected) in cases {
-        let error = ProcessSettings::parse(&text).expect_err("must be refused").to_string();
+        let error = ProcessSettings::parse(&text).expect_err("must be rejected").to_string();
         assert!(error.contains(expected), "{text}\n{error}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn subscribers_are_told_the_time_at_their_periods() {
+async fn subscribers_receive_ticks_with_their_periods() {
     let timers = TimerService::start();
     let mut fast = timers.subscribe(Duration::from_millis(100));
     let mut slow = timers.subscribe(Duration::from_millis(250));
@@ -71,12 +71,12 @@
     ticks.tick().await.expect("runs");
     let before = tokio::time::Instant::now();
     ticks.tick().await.expect("runs");
-    assert!(before.elapsed() <= Duration::from_millis(11), "no more than one waits");
+    assert!(before.elapsed() <= Duration::from_millis(11), "at most one tick is queued");
     assert!(before.elapsed() > Duration::ZERO, "missed ticks are not queued");
 }
 
 #[test]
-fn an_event_that_follows_a_message_stands_after_it() {
+fn receive_event_is_later_than_send_event_despite_clock_skew() {
     let sender = EventTimeline::new("a");
     let receiver = EventTimeline::new("b");
     // The sender's clock is a minute ahead.
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn events_are_selected_by_their_tags_and_old_ones_forgotten() {
+fn events_are_selected_by_tags_and_the_oldest_are_discarded() {
     let timeline = EventTimeline::new("a");
     for number in 0..20_000 {
         let request = Some(format!("r{}", number % 100));
@@ -99,7 +99,7 @@
         timeline.record(EventKind::CallSent, tags, String::new());
     }
     let all = timeline.select(&TimelineFilter::default());
-    assert_eq!(all.len(), 16_384, "bounded");
+    assert_eq!(all.len(), 16_384, "the timeline is bounded");
     let filter = TimelineFilter { request: Some("r7".to_owned()), ..TimelineFilter::default() };
     let found = timeline.select(&filter);
     assert!(found.len() > 150 && found.iter().all(|e| e.tags.request.as_deref() == Some("r7")));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_metrics_page_is_in_the_prometheus_format() {
+fn metrics_page_is_in_the_prometheus_format() {
     let metrics = MetricsRegistry::default();
     let counters = metrics.decisions("calls", "Decisions on requests");
     counters.count("ran");
