--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -9,7 +9,7 @@
 use history::{CallRecord, Departure, SeenHistory, broken_read};
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 use stand_in::{
-    BOOT_VARIABLE, BootFileText, CallEnd, CallKind, FaultyProxy, ProxyFault, ServerMode,
+    BOOT_VARIABLE, BootFileFields, CallEnd, CallKind, FaultyProxy, ProxyFault, ServerMode,
     SiteCaller, SiteOperator, SitePorts, StandInServer,
 };
 use std::{
@@ -50,7 +50,7 @@
 
 /// One process of the system.
 struct SiteMember {
-    boot: BootFileText,
+    boot: BootFileFields,
     file: PathBuf,
     role: &'static str,
     child: Option<Child>,
@@ -150,7 +150,7 @@
             let role = if is_replica { "replica" } else { "entry" };
             let node = format!("{role}-{number}");
             let data_folder = is_replica.then(|| folder.join(format!("{node}-data")));
-            let boot = BootFileText {
+            let boot = BootFileFields {
                 node: node.clone(),
                 ip: ip(number),
                 domain: domains[number % domains.len()].clone(),
