--- a/crates/daemon/tests/history/mod.rs
+++ b/crates/daemon/tests/history/mod.rs
@@ -1,6 +1,6 @@
 //! What callers, servers and the operator may never see.
 
-use stand_in::{CallEnd, CallKind};
+use stand_in::{CallKind, CallOutcome};
 use std::{
     collections::HashMap,
     time::{Duration, Instant},
@@ -12,7 +12,7 @@
     /// What it sent.
     pub kind: CallKind,
     /// What it saw.
-    pub end: CallEnd,
+    pub end: CallOutcome,
 }
 
 /// A server whose leaving was acknowledged.
@@ -61,7 +61,7 @@
         if is_order && count > 1 {
             broken.push(format!("order {id} ran {count} times"));
         }
-        let CallEnd::Answered { status, is_signed, id: echoed, body } = &call.end else {
+        let CallOutcome::Answered { status, is_signed, id: echoed, body } = &call.end else {
             return broken;
         };
         if is_order && count > 0 && [408, 421, 429, 503].contains(status) {
--- a/crates/daemon/tests/promises.rs
+++ b/crates/daemon/tests/promises.rs
@@ -3,14 +3,14 @@
 mod history;
 
 use history::{CallRecord, Departure, SeenHistory, broken_read};
-use stand_in::{CallEnd, CallKind};
+use stand_in::{CallKind, CallOutcome};
 use std::time::{Duration, Instant};
 
 const DRAIN_BOUND: Duration = Duration::from_secs(2);
 
-fn answered(status: u16, id: &str) -> CallEnd {
+fn answered(status: u16, id: &str) -> CallOutcome {
     let body = format!("server-1 ran {id}");
-    CallEnd::Answered { status, is_signed: true, id: Some(id.to_owned()), body }
+    CallOutcome::Answered { status, is_signed: true, id: Some(id.to_owned()), body }
 }
 
 /// An order that ran once, a lookup that ran twice, and an order that was refused.
@@ -23,7 +23,7 @@
     add("order", CallKind::Order, answered(200, "order"), 1);
     add("lookup", CallKind::Lookup, answered(200, "lookup"), 2);
     add("refused", CallKind::Order, answered(503, "refused"), 0);
-    add("broken", CallKind::Order, CallEnd::Broken, 1);
+    add("broken", CallKind::Order, CallOutcome::Broken, 1);
     history.departures.push(Departure { server: 2, acknowledged: now });
     history
 }
@@ -47,7 +47,7 @@
             history.runs.get_mut("refused").expect("there").push((0, now));
         }),
         ("a success of no server", |history, _| {
-            if let CallEnd::Answered { is_signed, .. } =
+            if let CallOutcome::Answered { is_signed, .. } =
                 &mut history.calls.get_mut("lookup").expect("there").end
             {
                 *is_signed = false;
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -9,7 +9,7 @@
 use history::{CallRecord, Departure, SeenHistory, broken_read};
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 use stand_in::{
-    BOOT_VARIABLE, BootFileFields, CallEnd, CallKind, FaultyProxy, ProxyFault, ServerMode,
+    BOOT_VARIABLE, BootFileFields, CallKind, CallOutcome, FaultyProxy, ProxyFault, ServerMode,
     SiteCaller, SiteOperator, SitePorts, StandInServer,
 };
 use std::{
@@ -201,7 +201,7 @@
             loop {
                 let id = format!("settle-{number}-{}", started.elapsed().as_micros());
                 let end = caller.send(*entry, CallKind::Lookup, &id).await;
-                if matches!(end, CallEnd::Answered { status: 200, .. }) {
+                if matches!(end, CallOutcome::Answered { status: 200, .. }) {
                     break;
                 }
                 assert!(started.elapsed() < limit, "entry {number} does not serve {when}");
@@ -390,7 +390,8 @@
     }
     site.verify();
     let calls = site.calls.lock().expect("not poisoned");
-    let is_served = |call: &&CallRecord| matches!(call.end, CallEnd::Answered { status: 200, .. });
+    let is_served =
+        |call: &&CallRecord| matches!(call.end, CallOutcome::Answered { status: 200, .. });
     let served = calls.values().filter(is_served).count();
     println!("seed {seed}: {served} of {} calls served", calls.len());
     assert!(served * 2 > calls.len(), "seed {seed}: {served} of {} served", calls.len());
