--- a/crates/daemon/tests/promises.rs
+++ b/crates/daemon/tests/promises.rs
@@ -23,7 +23,7 @@
     add("order", CallKind::Order, answered(200, "order"), 1);
     add("lookup", CallKind::Lookup, answered(200, "lookup"), 2);
     add("refused", CallKind::Order, answered(503, "refused"), 0);
-    add("broken", CallKind::Order, CallOutcome::Broken, 1);
+    add("broken", CallKind::Order, CallOutcome::NoResponse, 1);
     history.departures.push(Departure { server: 2, acknowledged: now });
     history
 }
