--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -195,7 +195,7 @@
     }
 
     async fn wait_served(&self, limit: Duration, when: &str) {
-        let caller = SiteCaller { patience: Duration::from_millis(1_500) };
+        let caller = SiteCaller { timeout: Duration::from_millis(1_500) };
         let started = Instant::now();
         for (number, entry) in self.entries.iter().enumerate() {
             loop {
@@ -222,7 +222,7 @@
             let is_over = is_over.clone();
             let mut rng = StdRng::seed_from_u64(seed * 100 + number);
             tasks.push(tokio::spawn(async move {
-                let caller = SiteCaller { patience: Duration::from_millis(1_200) };
+                let caller = SiteCaller { timeout: Duration::from_millis(1_200) };
                 for count in 0.. {
                     if is_over.load(Ordering::SeqCst) {
                         return;
