--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 use stand_in::{
     BOOT_VARIABLE, BootFileFields, CallKind, CallOutcome, FaultyProxy, ProxyFault, ServerMode,
-    SiteCaller, SiteOperator, SitePorts, StandInServer,
+    SimulatedServer, SiteCaller, SiteOperator, SitePorts,
 };
 use std::{
     collections::HashMap,
@@ -127,7 +127,7 @@
 /// A running system with its callers and servers.
 struct SoakSite {
     members: Vec<SiteMember>,
-    servers: Vec<(Arc<StandInServer>, Arc<FaultyProxy>)>,
+    servers: Vec<(Arc<SimulatedServer>, Arc<FaultyProxy>)>,
     operator: SiteOperator,
     entries: Vec<SocketAddr>,
     calls: Arc<Mutex<HashMap<String, CallRecord>>>,
@@ -169,7 +169,7 @@
         let mut servers = Vec::new();
         for number in 0..SERVERS {
             let domain = &domains[number % domains.len()];
-            let server = StandInServer::start(&format!("server-{number}"), domain).await?;
+            let server = SimulatedServer::start(&format!("server-{number}"), domain).await?;
             let proxy = FaultyProxy::start(server.address).await?;
             server.announce(proxy.address, operator.clone());
             servers.push((server, proxy));
