--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -342,7 +342,7 @@
         };
         sleep(Duration::from_millis(rng.random_range(50..800))).await;
         if let Some(server) = heal {
-            self.servers[server].0.set_mode(ServerMode::Sound);
+            self.servers[server].0.set_mode(ServerMode::Healthy);
             self.servers[server].1.set(ProxyFault::None);
         }
         Ok(text)
