--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -320,7 +320,7 @@
                 format!("wipe {}", replica.boot.node)
             }
             5 => {
-                let modes = [ServerMode::DropsConnections, ServerMode::Sheds];
+                let modes = [ServerMode::DropsConnections, ServerMode::ShedsLoad];
                 let mode = *modes.choose(rng).expect("not empty");
                 self.servers[server].0.set_mode(mode);
                 heal = Some(server);
