--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -332,7 +332,7 @@
                     ProxyFault::Reset,
                     ProxyFault::NoRequests,
                     ProxyFault::NoAnswers,
-                    ProxyFault::Silent,
+                    ProxyFault::Stalled,
                 ];
                 let fault = *faults.choose(rng).expect("not empty");
                 proxy.set(fault);
