--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -330,7 +330,7 @@
                 let faults = [
                     ProxyFault::Delayed(Duration::from_millis(80)),
                     ProxyFault::Reset,
-                    ProxyFault::NoRequests,
+                    ProxyFault::StalledRequests,
                     ProxyFault::NoAnswers,
                     ProxyFault::Stalled,
                 ];
