--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -331,7 +331,7 @@
                     ProxyFault::Delayed(Duration::from_millis(80)),
                     ProxyFault::Reset,
                     ProxyFault::StalledRequests,
-                    ProxyFault::NoAnswers,
+                    ProxyFault::StalledResponses,
                     ProxyFault::Stalled,
                 ];
                 let fault = *faults.choose(rng).expect("not empty");
