--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -335,7 +335,7 @@
                     ProxyFault::Stalled,
                 ];
                 let fault = *faults.choose(rng).expect("not empty");
-                proxy.set(fault);
+                proxy.set_fault(fault);
                 heal = Some(server);
                 format!("{fault:?} server-{server}")
             }
@@ -343,7 +343,7 @@
         sleep(Duration::from_millis(rng.random_range(50..800))).await;
         if let Some(server) = heal {
             self.servers[server].0.set_mode(ServerMode::Healthy);
-            self.servers[server].1.set(ProxyFault::None);
+            self.servers[server].1.set_fault(ProxyFault::None);
         }
         Ok(text)
     }
