--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -189,7 +189,7 @@
 
     /// Puts a configuration, and waits until an order is served.
     async fn settle(&self) {
-        assert!(self.operator.configure(1, Duration::from_secs(30)).await);
+        assert!(self.operator.put_configuration(1, Duration::from_secs(30)).await);
         self.acknowledged.fetch_max(1, Ordering::SeqCst);
         self.wait_served(RECOVERY_BOUND, "at the start").await;
     }
@@ -244,7 +244,7 @@
                 if over.load(Ordering::SeqCst) {
                     return;
                 }
-                if operator.configure(version, Duration::from_secs(20)).await {
+                if operator.put_configuration(version, Duration::from_secs(20)).await {
                     acknowledged.fetch_max(version, Ordering::SeqCst);
                 }
                 sleep(Duration::from_millis(300)).await;
