--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -257,7 +257,7 @@
                 let least = acknowledged.load(Ordering::SeqCst);
                 sleep(READ_BOUND).await;
                 for replica in 0..REPLICAS {
-                    if let Some(version) = operator.version(replica).await {
+                    if let Some(version) = operator.read_version(replica).await {
                         assert_eq!(broken_read(version, least), None);
                     }
                 }
