--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -9,8 +9,8 @@
 use history::{CallRecord, Departure, SeenHistory, broken_read};
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 use stand_in::{
-    BOOT_VARIABLE, BootFileText, CallEnd, CallKind, FaultyProxy, ProxyFault, ServerMode,
-    SiteCaller, SiteOperator, SitePorts, StandInServer,
+    BOOT_VARIABLE, BootFileFields, CallKind, CallOutcome, FaultyProxy, ProxyFault, ServerMode,
+    SimulatedServer, SiteCaller, SiteOperator, SitePorts,
 };
 use std::{
     collections::HashMap,
@@ -50,7 +50,7 @@
 
 /// One process of the system.
 struct SiteMember {
-    boot: BootFileText,
+    boot: BootFileFields,
     file: PathBuf,
     role: &'static str,
     child: Option<Child>,
@@ -127,7 +127,7 @@
 /// A running system with its callers and servers.
 struct SoakSite {
     members: Vec<SiteMember>,
-    servers: Vec<(Arc<StandInServer>, Arc<FaultyProxy>)>,
+    servers: Vec<(Arc<SimulatedServer>, Arc<FaultyProxy>)>,
     operator: SiteOperator,
     entries: Vec<SocketAddr>,
     calls: Arc<Mutex<HashMap<String, CallRecord>>>,
@@ -150,7 +150,7 @@
             let role = if is_replica { "replica" } else { "entry" };
             let node = format!("{role}-{number}");
             let data_folder = is_replica.then(|| folder.join(format!("{node}-data")));
-            let boot = BootFileText {
+            let boot = BootFileFields {
                 node: node.clone(),
                 ip: ip(number),
                 domain: domains[number % domains.len()].clone(),
@@ -169,7 +169,7 @@
         let mut servers = Vec::new();
         for number in 0..SERVERS {
             let domain = &domains[number % domains.len()];
-            let server = StandInServer::start(&format!("server-{number}"), domain).await?;
+            let server = SimulatedServer::start(&format!("server-{number}"), domain).await?;
             let proxy = FaultyProxy::start(server.address).await?;
             server.announce(proxy.address, operator.clone());
             servers.push((server, proxy));
@@ -189,19 +189,19 @@
 
     /// Puts a configuration, and waits until an order is served.
     async fn settle(&self) {
-        assert!(self.operator.configure(1, Duration::from_secs(30)).await);
+        assert!(self.operator.put_configuration(1, Duration::from_secs(30)).await);
         self.acknowledged.fetch_max(1, Ordering::SeqCst);
         self.wait_served(RECOVERY_BOUND, "at the start").await;
     }
 
     async fn wait_served(&self, limit: Duration, when: &str) {
-        let caller = SiteCaller { patience: Duration::from_millis(1_500) };
+        let caller = SiteCaller { timeout: Duration::from_millis(1_500) };
         let started = Instant::now();
         for (number, entry) in self.entries.iter().enumerate() {
             loop {
                 let id = format!("settle-{number}-{}", started.elapsed().as_micros());
                 let end = caller.send(*entry, CallKind::Lookup, &id).await;
-                if matches!(end, CallEnd::Answered { status: 200, .. }) {
+                if matches!(end, CallOutcome::Answered { status: 200, .. }) {
                     break;
                 }
                 assert!(started.elapsed() < limit, "entry {number} does not serve {when}");
@@ -222,7 +222,7 @@
             let is_over = is_over.clone();
             let mut rng = StdRng::seed_from_u64(seed * 100 + number);
             tasks.push(tokio::spawn(async move {
-                let caller = SiteCaller { patience: Duration::from_millis(1_200) };
+                let caller = SiteCaller { timeout: Duration::from_millis(1_200) };
                 for count in 0.. {
                     if is_over.load(Ordering::SeqCst) {
                         return;
@@ -244,7 +244,7 @@
                 if over.load(Ordering::SeqCst) {
                     return;
                 }
-                if operator.configure(version, Duration::from_secs(20)).await {
+                if operator.put_configuration(version, Duration::from_secs(20)).await {
                     acknowledged.fetch_max(version, Ordering::SeqCst);
                 }
                 sleep(Duration::from_millis(300)).await;
@@ -257,7 +257,7 @@
                 let least = acknowledged.load(Ordering::SeqCst);
                 sleep(READ_BOUND).await;
                 for replica in 0..REPLICAS {
-                    if let Some(version) = operator.version(replica).await {
+                    if let Some(version) = operator.read_version(replica).await {
                         assert_eq!(broken_read(version, least), None);
                     }
                 }
@@ -320,7 +320,7 @@
                 format!("wipe {}", replica.boot.node)
             }
             5 => {
-                let modes = [ServerMode::BreaksOff, ServerMode::Sheds];
+                let modes = [ServerMode::DropsConnections, ServerMode::ShedsLoad];
                 let mode = *modes.choose(rng).expect("not empty");
                 self.servers[server].0.set_mode(mode);
                 heal = Some(server);
@@ -330,20 +330,20 @@
                 let faults = [
                     ProxyFault::Delayed(Duration::from_millis(80)),
                     ProxyFault::Reset,
-                    ProxyFault::NoRequests,
-                    ProxyFault::NoAnswers,
-                    ProxyFault::Silent,
+                    ProxyFault::StalledRequests,
+                    ProxyFault::StalledResponses,
+                    ProxyFault::Stalled,
                 ];
                 let fault = *faults.choose(rng).expect("not empty");
-                proxy.set(fault);
+                proxy.set_fault(fault);
                 heal = Some(server);
                 format!("{fault:?} server-{server}")
             }
         };
         sleep(Duration::from_millis(rng.random_range(50..800))).await;
         if let Some(server) = heal {
-            self.servers[server].0.set_mode(ServerMode::Sound);
-            self.servers[server].1.set(ProxyFault::None);
+            self.servers[server].0.set_mode(ServerMode::Healthy);
+            self.servers[server].1.set_fault(ProxyFault::None);
         }
         Ok(text)
     }
@@ -390,7 +390,8 @@
     }
     site.verify();
     let calls = site.calls.lock().expect("not poisoned");
-    let is_served = |call: &&CallRecord| matches!(call.end, CallEnd::Answered { status: 200, .. });
+    let is_served =
+        |call: &&CallRecord| matches!(call.end, CallOutcome::Answered { status: 200, .. });
     let served = calls.values().filter(is_served).count();
     println!("seed {seed}: {served} of {} calls served", calls.len());
     assert!(served * 2 > calls.len(), "seed {seed}: {served} of {} served", calls.len());
