--- a/declarations/flakonwerk.py
+++ b/declarations/flakonwerk.py
@@ -1,4 +1,4 @@
-"""The services of Gravurgenossenschaft Flakonwerk Oberland eG."""
+"""Declares the services of Gravurgenossenschaft Flakonwerk Oberland eG."""
 
 from hawthornhill import Declaration, Service
 
--- a/declarations/hawthornhill.py
+++ b/declarations/hawthornhill.py
@@ -1,7 +1,7 @@
 """Declares the services of one team and prints the document that `hawthornctl apply -` reads.
 
-One file without dependencies (Python 3.8 or newer). Wrong declarations raise DeclarationError,
-which names the field.
+This module has no dependencies and needs Python 3.8 or newer. An invalid declaration raises
+DeclarationError, which names the field.
 
     from hawthornhill import Declaration, Service
 
@@ -24,7 +24,7 @@
 _MAX_SERVICES = 256
 _MAX_RULES = 64
 
-# Name, default, lowest and highest value of each number, in the order in which it is printed.
+# Name, default, minimum and maximum of each numeric setting, in output order.
 _NUMBERS = (
     ("timeout_ms", 2_000, 1, 120_000),
     ("retry_percent", 10, 0, 100),
@@ -35,7 +35,7 @@
 
 
 class DeclarationError(ValueError):
-    """Says which field of a declaration is wrong."""
+    """Raised for an invalid declaration; the attribute `field` is the path of the invalid field."""
 
     def __init__(self, field, reason):
         super().__init__("field {}: {}".format(field, reason))
@@ -43,13 +43,13 @@
 
 
 class Service:
-    """One service: its name, its importance from 0 (most) to 9 (least), and optional numbers.
+    """A service: its name, its priority from 0 (highest) to 9 (lowest), and optional settings.
 
-    timeout_ms: time allowed for a request, 1 to 120000.
-    retry_percent: retries allowed, in percent of requests, 0 to 100.
-    hedge_percent: hedged requests allowed, in percent of requests, 0 to 20.
-    cold_concurrency: concurrent requests that a cold server bears, 1 to 64.
-    probes_per_minute: probes allowed for each server, 0 to 600.
+    timeout_ms: timeout of a request in milliseconds, 1 to 120000.
+    retry_percent: maximum retries, as a percentage of requests, 0 to 100.
+    hedge_percent: maximum hedged requests, as a percentage of requests, 0 to 20.
+    cold_concurrency: maximum number of concurrent requests to a cold server, 1 to 64.
+    probes_per_minute: maximum probes per minute for each server, 0 to 600.
     """
 
     def __init__(self, name, priority, **numbers):
@@ -59,7 +59,7 @@
         self._rules = []
 
     def never_repeat(self, method, path):
-        """Marks requests with this method ("*" for all) and path prefix as never to be repeated."""
+        """Forbids repeating requests with this method ("*" for all methods) and path prefix."""
         self._rules.append((method, path))
         return self
 
@@ -68,9 +68,9 @@
         _check_number(field + ".priority", self._priority, 0, 9)
         for name in self._numbers:
             if name not in [number[0] for number in _NUMBERS]:
-                raise DeclarationError("{}.{}".format(field, name), "is not known")
+                raise DeclarationError("{}.{}".format(field, name), "is not a known setting")
         if len(self._rules) > _MAX_RULES:
-            raise DeclarationError(field + ".non_repeatable", "holds more than %d" % _MAX_RULES)
+            raise DeclarationError(field + ".non_repeatable", "has more than %d rules" % _MAX_RULES)
         rules = [
             _build_rule("{}.non_repeatable[{}]".format(field, index), *rule)
             for index, rule in enumerate(self._rules)
@@ -84,14 +84,14 @@
 
 
 class Declaration:
-    """All services of one team."""
+    """The declaration of all services of one team."""
 
     def __init__(self, team):
         self._team = team
         self._services = []
 
     def service(self, service):
-        """Adds a service."""
+        """Adds a service and returns the declaration."""
         self._services.append(service)
         return self
 
@@ -99,13 +99,13 @@
         """Checks the declaration and returns the document as a dictionary."""
         _check_name("team", self._team)
         if len(self._services) > _MAX_SERVICES:
-            raise DeclarationError("services", "holds more than %d" % _MAX_SERVICES)
+            raise DeclarationError("services", "has more than %d services" % _MAX_SERVICES)
         services = []
         for index, service in enumerate(self._services):
             field = "services[{}]".format(index)
             built = service._build(field)
             if any(other["name"] == built["name"] for other in services):
-                raise DeclarationError(field + ".name", built["name"] + " stands twice")
+                raise DeclarationError(field + ".name", built["name"] + " is declared twice")
             services.append(built)
         return {"team": self._team, "services": services}
 
@@ -125,9 +125,11 @@
 
 def _check_name(field, name):
     if not isinstance(name, str) or not _NAME.match(name):
-        raise DeclarationError(field, "{!r} must have 1 to 63 of a-z, 0-9, '-', '.'".format(name))
+        reason = "{!r} must have 1 to 63 characters of a-z, 0-9, '-' and '.'".format(name)
+        raise DeclarationError(field, reason)
 
 
 def _check_number(field, value, low, high):
     if not isinstance(value, int) or isinstance(value, bool) or not low <= value <= high:
-        raise DeclarationError(field, "{!r} is not between {} and {}".format(value, low, high))
+        reason = "{!r} is not an integer from {} to {}".format(value, low, high)
+        raise DeclarationError(field, reason)
--- a/declarations/plinoterm.py
+++ b/declarations/plinoterm.py
@@ -1,4 +1,4 @@
-"""The services of Plinoterm Najem d.o.o."""
+"""Declares the services of Plinoterm Najem d.o.o."""
 
 from hawthornhill import Declaration, Service
 
