--- a/examples/quickstart.sh
+++ b/examples/quickstart.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Runs a whole system on loopback: three replicas and three entries in two failure domains, with
-# fake servers. Builds, applies a declaration, sends lookups and a booking, sends the booking again,
-# drains a failure domain, prints the time line, and stops everything by SIGTERM.
+# Runs a complete system on loopback: three replicas and three entries in two failure domains, with
+# fake servers. Builds the programs, applies a declaration, sends lookups and a booking, repeats the
+# booking, drains a failure domain, prints the timeline, and stops all processes with SIGTERM.
 #
-# Usage: examples/quickstart.sh [--keep]     --keep leaves it running and prints the addresses.
+# Usage: examples/quickstart.sh [--keep]
+# --keep leaves the system running and prints its addresses.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -13,7 +14,7 @@
 say() { printf '\n== %s\n' "$1"; }
 fail() { printf 'quickstart: FAILED: %s\n' "$1" >&2; exit 1; }
 
-say 'building'
+say 'building the programs'
 cargo build --quiet --release --bin hawthornhill --bin hawthornctl
 cargo build --quiet --release --package hawthornhill-testkit --example fake_server
 TARGET=${CARGO_TARGET_DIR:-target}/release
@@ -35,7 +36,8 @@
 trap cleanup EXIT
 
 ctl() { "$TARGET/hawthornctl" --config "$WORK/operator.toml" "$@"; }
-# retry SECONDS COMMAND...: repeats a command until it succeeds.
+# retry SECONDS COMMAND...: repeats a command until it succeeds, for at most SECONDS. Its last
+# output is in $WORK/retry.out.
 retry() {
   local until=$((SECONDS + $1)); shift
   until "$@" >"$WORK/retry.out" 2>&1; do
@@ -43,6 +45,7 @@
     sleep 0.1
   done
 }
+# Prints a new UUID of version 7.
 uuid7() {
   python3 -c 'import os, time
 t = int(time.time() * 1000).to_bytes(6, "big"); r = bytearray(os.urandom(10))
@@ -50,7 +53,7 @@
 print("-".join((h[:8], h[8:12], h[12:16], h[16:20], h[20:])))'
 }
 
-say 'making keys and settings'
+say 'creating keys and settings'
 PORT=$((20000 + $$ % 8000))
 peer() { echo "127.0.0.1:$((PORT + $1 * 10))"; }
 caller() { echo "127.0.0.1:$((PORT + $1 * 10 + 1))"; }
@@ -114,28 +117,30 @@
 start_server najem-1 najem ljubljana
 start_server najem-2 najem kranj
 
-say 'asking the directory, then looking stock up at the entry that it names'
+say 'querying the directory, then looking up stock at the entry that it returns'
 entry_for() {
   curl -sf "http://$(caller 1)/v1/entries/$1" |
     python3 -c 'import json, sys; print(json.load(sys.stdin)["entries"][0]["address"])'
 }
 retry 10 entry_for zaloga
 ENTRY=$(entry_for zaloga)
-echo "the directory names $ENTRY"
+echo "the directory returns $ENTRY"
 lookup() { curl -sf "http://$ENTRY/v1/call/zaloga/stock?cylinder=argon"; }
 retry 20 lookup
 cat "$WORK/retry.out"
-for _ in $(seq 100); do lookup | grep -q 'end$' || fail 'a lookup was not answered whole'; done
-echo '100 lookups answered whole'
+for _ in $(seq 100); do lookup | grep -q 'end$' || fail 'a lookup got no complete answer'; done
+echo '100 lookups got complete answers'
 
-say 'booking once, and sending the same booking again'
+say 'sending a booking, then repeating it with the same key'
 ENTRY=$(entry_for najem)
 KEY=$(uuid7)
-book() { # prints the outcome; fails unless it is as expected
+# book ENTRY: sends the booking and prints its outcome. Fails if the answer has no outcome header.
+book() {
   curl -s -o "$WORK/book.out" -D "$WORK/book.head" -X POST -H "Idempotency-Key: $KEY" \
     -d 'swap 2 argon' "http://$1/v1/call/najem/rentals"
   grep -i '^hawthornhill-outcome:' "$WORK/book.head" | tr -d '\r' | cut -d' ' -f2
 }
+# Prints the number of requests that the servers of najem have run.
 runs() { cat "$WORK"/najem-*.count | awk '{ sum += $1 } END { print sum }'; }
 booked() { KEY=$(uuid7); [ "$(book "$ENTRY")" = ran ] && grep -q '^server=najem' "$WORK/book.out"; }
 retry 20 booked
@@ -147,10 +152,10 @@
 [ "$OTHER" = "$ENTRY" ] && OTHER=$(caller 3)
 OUTCOME=$(book "$OTHER")
 sleep 0.3
-echo "sent again to another entry: outcome $OUTCOME, $(cat "$WORK/book.out")"
-[ "$OUTCOME" = ran ] || fail "the second answer was $OUTCOME"
-[ "$(runs)" = "$BEFORE" ] || fail 'the booking ran twice'
-echo 'it did not run again'
+echo "repeated at another entry: outcome $OUTCOME, $(cat "$WORK/book.out")"
+[ "$OUTCOME" = ran ] || fail "the outcome of the repeated booking is ${OUTCOME:-missing} instead of ran"
+[ "$(runs)" = "$BEFORE" ] || fail 'the repeated booking ran again'
+echo 'the booking did not run again'
 
 say 'draining the failure domain kranj'
 ctl drain kranj --wait
@@ -159,26 +164,26 @@
 BEFORE=$(cat "$WORK/zaloga-2.count")
 for _ in $(seq 100); do retry 5 lookup; done
 sleep 0.2
-[ "$(cat "$WORK/zaloga-2.count")" = "$BEFORE" ] || fail 'the drained domain got new work'
-echo '100 lookups, none of them at the server in kranj'
+[ "$(cat "$WORK/zaloga-2.count")" = "$BEFORE" ] || fail 'the server in the drained domain received requests'
+echo '100 lookups succeeded, none of them at the server in kranj'
 ctl undrain kranj --wait
 
 say 'status'
 ctl status
 
-say 'the last lines of the merged time line'
+say 'last lines of the merged timeline'
 ctl timeline >"$WORK/timeline.out"
 tail -n 12 "$WORK/timeline.out"
-grep -q claim-decided "$WORK/timeline.out" || fail 'the time line has no claim'
+grep -q claim-decided "$WORK/timeline.out" || fail 'the timeline has no claim-decided event'
 
 if [ "$KEEP" = 1 ]; then
-  say "left running; stop it with: kill ${PIDS[*]}"
+  say "the system is still running; stop it with: kill ${PIDS[*]}"
   for n in 1 2 3; do echo "host-$n: callers $(caller $n), servers $(server $n), operators $(operator $n)"; done
   echo "operator settings: $WORK/operator.toml"
   exit 0
 fi
 
-say 'stopping all by SIGTERM'
+say 'stopping all processes with SIGTERM'
 for pid in "${PIDS[@]}"; do kill -TERM "$pid"; done
 for pid in "${PIDS[@]}"; do wait "$pid" || fail "process $pid did not stop cleanly"; done
 PIDS=()
