--- a/crates/testkit/examples/bench_capacity.rs
+++ b/crates/testkit/examples/bench_capacity.rs
@@ -1,5 +1,5 @@
-//! Measures slopes for docs/CAPACITY.md: traffic, CPU and memory of a node against the number of
-//! entries, servers and documents.
+//! Benchmarks for docs/CAPACITY.md: how the traffic, CPU time and memory of a process grow with the
+//! number of entries, servers and documents.
 //!
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_capacity`
 
@@ -7,40 +7,49 @@
 use std::time::{Duration, Instant};
 use types::{ChangeAction, ServiceSpec, TeamDocument};
 
-/// The daemon, built by `cargo build --release`.
+/// Path of the daemon, built by `cargo build --release`.
 const PROGRAM: &str = "target/release/hawthornhill";
-/// Idle time over which traffic and CPU are measured, in seconds.
+/// Length of the idle period in which traffic and CPU time are measured, in seconds.
 const IDLE_S: u64 = 10;
+/// Index of the entry process that the server benchmark measures; it has no replica.
+const MEASURED_ENTRY: usize = 5;
+/// Period in which servers renew their announcements.
+const RENEWAL_PERIOD: Duration = Duration::from_secs(3);
 
+/// Returns a numeric field of a file in the `/proc` folder of a process, or 0 if it is absent.
 fn proc_field(system: &System, index: usize, file: &str, field: &str) -> u64 {
-    let id = system.group.id(index).expect("runs");
-    let text = std::fs::read_to_string(format!("/proc/{id}/{file}")).expect("linux");
+    let pid = system.group.pid(index).expect("runs");
+    let text = std::fs::read_to_string(format!("/proc/{pid}/{file}")).expect("linux");
     let line = text.lines().find(|line| line.starts_with(field)).unwrap_or_default();
     line.split_whitespace().nth(1).and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
+/// Returns the resident memory of a process, in MiB.
 fn resident_mb(system: &System, index: usize) -> f64 {
     proc_field(system, index, "status", "VmRSS:") as f64 / 1024.0
 }
 
+/// Returns the CPU time that the running threads of a process have used, in seconds.
 fn cpu_seconds(system: &System, index: usize) -> f64 {
-    let id = system.group.id(index).expect("runs");
-    let threads = std::fs::read_dir(format!("/proc/{id}/task")).expect("linux");
-    let run = |path: std::path::PathBuf| -> f64 {
+    let pid = system.group.pid(index).expect("runs");
+    let threads = std::fs::read_dir(format!("/proc/{pid}/task")).expect("linux");
+    let thread_ns = |path: std::path::PathBuf| -> f64 {
         let text = std::fs::read_to_string(path.join("schedstat")).unwrap_or_default();
         text.split_whitespace().next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(0.0)
     };
-    threads.flatten().map(|thread| run(thread.path())).sum::<f64>() / 1e9
+    threads.flatten().map(|thread| thread_ns(thread.path())).sum::<f64>() / 1e9
 }
 
-/// Returns the bytes that a process has sent to and received from others.
+/// Returns the bytes that a process has sent to and received from other processes.
 async fn link_bytes(system: &System, index: usize) -> (u64, u64) {
     let page = system.status(index).await.expect("answers");
     (page.sent_bytes, page.received_bytes)
 }
 
 async fn measure_entries() {
-    println!("idle system: KB/s of links (UDP payload, sent + received) and CPU, 3 replicas");
+    println!(
+        "idle system: peer traffic in KB/s (UDP payload, sent + received) and CPU, 3 replicas"
+    );
     println!(
         "{:>8} {:>12} {:>12} {:>12} {:>12} {:>12} {:>8}",
         "entries",
@@ -56,14 +65,14 @@
         pause(4_000).await;
         let leader = system.leader().await;
         let follower = (leader + 1) % 3;
-        let chosen = [leader, follower, entries - 1];
+        let measured = [leader, follower, entries - 1];
         let mut before = Vec::new();
-        for index in chosen {
+        for index in measured {
             before.push((link_bytes(&system, index).await, cpu_seconds(&system, index)));
         }
         pause(IDLE_S * 1_000).await;
         let mut rates = Vec::new();
-        for (index, ((sent, received), cpu)) in chosen.into_iter().zip(before) {
+        for (index, ((sent, received), cpu)) in measured.into_iter().zip(before) {
             let spent = cpu_seconds(&system, index) - cpu;
             let (sent_after, received_after) = link_bytes(&system, index).await;
             let bytes = sent_after - sent + received_after - received;
@@ -82,6 +91,7 @@
     }
 }
 
+/// Announces all servers once, with 16 concurrent senders.
 async fn announce_all(system: &System, servers: usize, client: &HttpClient, sequence: u64) {
     let mut tasks = tokio::task::JoinSet::new();
     for worker in 0..16 {
@@ -108,14 +118,16 @@
 }
 
 async fn measure_servers() {
-    println!("memory and CPU of an entry against servers and documents, 3 replicas, 6 entries");
+    println!(
+        "memory and CPU of an entry by number of servers and documents, 3 replicas, 6 entries"
+    );
     println!(
         "{:>8} {:>10} {:>12} {:>12} {:>14} {:>12}",
         "servers", "documents", "RSS MB", "RSS leader", "CPU% entry", "announce/s"
     );
     let system = System::start(PROGRAM, 3, 6).await;
     let client = HttpClient::default();
-    report(&system, 0, 1, 0.0).await;
+    measure_idle(&system, 0, 1, 0.0).await;
     let mut tasks = tokio::task::JoinSet::new();
     for number in 0..1_200 {
         let document = TeamDocument {
@@ -142,38 +154,41 @@
     }
     while tasks.join_next().await.is_some() {}
     pause(2_000).await;
-    report(&system, 0, 1_201, 0.0).await;
+    measure_idle(&system, 0, 1_201, 0.0).await;
     for servers in [5_000, 15_000] {
-        let begun = Instant::now();
+        let started = Instant::now();
         announce_all(&system, servers, &client, 1).await;
-        let rate = servers as f64 / begun.elapsed().as_secs_f64();
-        // Announcements are renewed while measured, at the period that servers keep.
+        let rate = servers as f64 / started.elapsed().as_secs_f64();
+        // Renews the announcements every 3 s, the period of real servers, also during the
+        // measurement.
         for sequence in 2..5 {
-            let begun = Instant::now();
+            let round_start = Instant::now();
             announce_all(&system, servers, &client, sequence).await;
-            tokio::time::sleep(Duration::from_secs(3).saturating_sub(begun.elapsed())).await;
+            tokio::time::sleep(RENEWAL_PERIOD.saturating_sub(round_start.elapsed())).await;
         }
-        report_renewing(&system, servers, rate, &client).await;
+        measure_renewals(&system, servers, rate, &client).await;
     }
 }
 
-async fn report_renewing(system: &System, servers: usize, rate: f64, client: &HttpClient) {
-    let begun = Instant::now();
-    let before = cpu_seconds(system, 5);
+async fn measure_renewals(system: &System, servers: usize, rate: f64, client: &HttpClient) {
+    let started = Instant::now();
+    let before = cpu_seconds(system, MEASURED_ENTRY);
     for sequence in 10..13 {
-        let round = Instant::now();
+        let round_start = Instant::now();
         announce_all(system, servers, client, sequence).await;
-        tokio::time::sleep(Duration::from_secs(3).saturating_sub(round.elapsed())).await;
+        tokio::time::sleep(RENEWAL_PERIOD.saturating_sub(round_start.elapsed())).await;
     }
-    let cpu = (cpu_seconds(system, 5) - before) / begun.elapsed().as_secs_f64() * 100.0;
-    let known = system.status(5).await.and_then(|page| page.entry).map_or(0, |e| e.servers.len());
+    let cpu =
+        (cpu_seconds(system, MEASURED_ENTRY) - before) / started.elapsed().as_secs_f64() * 100.0;
+    let page = system.status(MEASURED_ENTRY).await.and_then(|page| page.entry);
+    let known = page.map_or(0, |entry| entry.servers.len());
     print_row(system, known, 1_201, cpu, rate).await;
 }
 
-async fn report(system: &System, servers: usize, documents: usize, rate: f64) {
-    let before = cpu_seconds(system, 5);
+async fn measure_idle(system: &System, servers: usize, documents: usize, rate: f64) {
+    let before = cpu_seconds(system, MEASURED_ENTRY);
     pause(5_000).await;
-    let cpu = (cpu_seconds(system, 5) - before) / 5.0 * 100.0;
+    let cpu = (cpu_seconds(system, MEASURED_ENTRY) - before) / 5.0 * 100.0;
     print_row(system, servers, documents, cpu, rate).await;
 }
 
@@ -181,7 +196,7 @@
     let leader = system.leader().await;
     println!(
         "{servers:>8} {documents:>10} {:>12.1} {:>12.1} {cpu:>14.2} {rate:>12.0}",
-        resident_mb(system, 5),
+        resident_mb(system, MEASURED_ENTRY),
         resident_mb(system, leader)
     );
 }
--- a/crates/testkit/examples/bench_replicas.rs
+++ b/crates/testkit/examples/bench_replicas.rs
@@ -1,4 +1,4 @@
-//! Measures the replicated state on this machine's disk: claims, changes, restarts.
+//! Benchmarks the replicated state on this machine's disk: claims, replica restarts and changes.
 //!
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_replicas`
 
@@ -17,24 +17,23 @@
 use types::{AttemptId, ChangeAction, ChangeAnswer, ClaimKey, ClaimRequest, Command, HostName};
 use uuid::Uuid;
 
-/// The daemon, built by `cargo build --release`.
+/// Path of the daemon, built by `cargo build --release`.
 const PROGRAM: &str = "target/release/hawthornhill";
-/// Claims measured at each concurrency.
+/// Claims measured at each concurrency above 1.
 const CLAIMS: usize = 20_000;
 
-struct Handler(ReplicaHandle);
+struct ReplicaHandler(ReplicaHandle);
 
 #[async_trait]
-impl PeerHandler for Handler {
+impl PeerHandler for ReplicaHandler {
     async fn handle(&self, host: &HostName, request: PeerRequest) -> PeerAnswer {
         self.0.handle(host, request).await.unwrap_or(PeerAnswer::Done)
     }
 }
 
-fn start(net: &MemoryNet, folder: &Path, number: u16) -> (ReplicaHandle, ReplicaId) {
+fn start_member(net: &MemoryNet, folder: &Path, number: u16) -> (ReplicaHandle, ReplicaId) {
     let host: HostName = format!("host-{number}").parse().expect("valid");
-    let opened = FileStore::open(folder, ReplicaId(u64::from(number))).expect("opens");
-    let (store, restored) = opened;
+    let (store, restored) = FileStore::open(folder, ReplicaId(u64::from(number))).expect("opens");
     let identity = store.identity();
     let address = SocketAddr::from(([127, 0, 0, 1], number));
     let settings = ReplicaSettings {
@@ -51,11 +50,12 @@
         logger: slog::Logger::root(slog::Discard, slog::o!()),
     };
     let handle = start_replica(settings, Box::new(store), restored).expect("starts");
-    net.register(address, Arc::new(Handler(handle.clone())));
+    net.register(address, Arc::new(ReplicaHandler(handle.clone())));
     (handle, identity)
 }
 
-async fn leader(handles: &[ReplicaHandle]) -> ReplicaHandle {
+/// Waits until one of the replicas is the leader and returns its handle.
+async fn wait_for_leader(handles: &[ReplicaHandle]) -> ReplicaHandle {
     loop {
         for handle in handles {
             if handle.status().await.is_ok_and(|status| status.is_leader) {
@@ -66,7 +66,8 @@
     }
 }
 
-fn claim() -> Command {
+/// Returns a claim with a new key.
+fn new_claim() -> Command {
     let key = ClaimKey { service: "najem".parse().expect("valid"), key: Uuid::now_v7() };
     let entry = "entry".parse().expect("valid");
     let attempt = AttemptId(Uuid::new_v4());
@@ -75,7 +76,8 @@
 
 async fn measure_claims(folder: &Path) {
     let net = MemoryNet::default();
-    let started: Vec<_> = (1..=3).map(|n| start(&net, &folder.join(format!("r{n}")), n)).collect();
+    let started: Vec<_> =
+        (1..=3).map(|n| start_member(&net, &folder.join(format!("r{n}")), n)).collect();
     let members: Vec<Member> = (1..=3)
         .zip(&started)
         .map(|(number, (_, id))| Member {
@@ -87,14 +89,14 @@
         .collect();
     let handles: Vec<ReplicaHandle> = started.into_iter().map(|(handle, _)| handle).collect();
     for handle in &handles {
-        handle.bootstrap(members.clone()).await.expect("formed");
+        handle.bootstrap(members.clone()).await.expect("bootstrap succeeds");
     }
-    let leader = leader(&handles).await;
-    println!("claims, 3 replicas, synced files, links in memory");
+    let leader = wait_for_leader(&handles).await;
+    println!("claims, 3 replicas, synced files, in-process links");
     println!("{:>12} {:>12} {:>9} {:>9}", "concurrency", "claims/s", "p50 ms", "p99 ms");
     for concurrency in [1, 8, 32, 128] {
         let count = if concurrency == 1 { CLAIMS / 20 } else { CLAIMS };
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut tasks = tokio::task::JoinSet::new();
         for _ in 0..concurrency {
             let leader = leader.clone();
@@ -102,7 +104,7 @@
                 let mut latencies = Vec::new();
                 for _ in 0..count / concurrency {
                     let sent = Instant::now();
-                    let answer = leader.submit(claim()).await;
+                    let answer = leader.submit(new_claim()).await;
                     assert!(matches!(answer, SubmitAnswer::Applied(_)), "{answer:?}");
                     latencies.push(sent.elapsed().as_micros() as u64);
                 }
@@ -113,19 +115,21 @@
         while let Some(latencies) = tasks.join_next().await {
             latencies.expect("joined").into_iter().for_each(|us| histogram.saturating_record(us));
         }
-        let rate = histogram.len() as f64 / begun.elapsed().as_secs_f64();
+        let rate = histogram.len() as f64 / started.elapsed().as_secs_f64();
         let ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
         println!("{concurrency:>12} {rate:>12.0} {:>9.2} {:>9.2}", ms(0.5), ms(0.99));
     }
 }
 
 async fn measure_restart(folder: &Path) {
-    println!("restart of one replica: open files, replay, lead");
-    println!("{:>12} {:>12} {:>12}", "changes", "open ms", "lead ms");
+    println!(
+        "restart of one replica: time to open the files; time to open, replay and become leader"
+    );
+    println!("{:>12} {:>12} {:>12}", "changes", "open ms", "leader ms");
     let mut version = 0;
     for (round, total) in [100_u64, 1_000, 10_000, 50_000].into_iter().enumerate() {
         let net = MemoryNet::default();
-        let (handle, id) = start(&net, folder, 1);
+        let (handle, id) = start_member(&net, folder, 1);
         if round == 0 {
             let member = Member {
                 id,
@@ -133,9 +137,9 @@
                 address: SocketAddr::from(([127, 0, 0, 1], 1)),
                 role: MemberRole::Voter,
             };
-            handle.bootstrap(vec![member]).await.expect("formed");
+            handle.bootstrap(vec![member]).await.expect("bootstrap succeeds");
         }
-        leader(std::slice::from_ref(&handle)).await;
+        wait_for_leader(std::slice::from_ref(&handle)).await;
         while version < total {
             let batch = (total - version).min(256);
             let mut tasks = tokio::task::JoinSet::new();
@@ -156,79 +160,85 @@
         drop(handle);
         drop(net);
         pause(300).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let opened = FileStore::open(folder, ReplicaId(1)).expect("opens");
-        let open_ms = begun.elapsed().as_secs_f64() * 1e3;
+        let open_ms = started.elapsed().as_secs_f64() * 1e3;
         drop(opened);
         let net = MemoryNet::default();
-        let begun = Instant::now();
-        let (handle, _) = start(&net, folder, 1);
-        leader(std::slice::from_ref(&handle)).await;
-        let lead_ms = begun.elapsed().as_secs_f64() * 1e3;
-        println!("{total:>12} {open_ms:>12.1} {lead_ms:>12.0}");
+        let started = Instant::now();
+        let (handle, _) = start_member(&net, folder, 1);
+        wait_for_leader(std::slice::from_ref(&handle)).await;
+        let leader_ms = started.elapsed().as_secs_f64() * 1e3;
+        println!("{total:>12} {open_ms:>12.1} {leader_ms:>12.0}");
         handle.stop().await;
         pause(300).await;
     }
 }
 
-/// Returns the time until all entries' views have reached the leader's, after a change.
-async fn time_in_force(system: &System, version: u64) -> Duration {
-    let begun = Instant::now();
+/// Submits a change and returns the time until the views of all entries contain it.
+async fn time_until_in_force(system: &System, version: u64) -> Duration {
+    let started = Instant::now();
     let answer = system.drain("nowhere", version).await;
     assert!(matches!(answer, ChangeAnswer::Accepted { .. }), "{answer:?}");
     loop {
-        let mut is_everywhere = true;
+        let mut is_in_force = true;
         for index in 0..system.group.processes.len() {
             let endpoint = system.endpoint(index);
             let page =
                 system.operators.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
-            is_everywhere &= page
+            is_in_force &= page
                 .is_ok_and(|page| page.drains.iter().any(|drain| drain.version.0 == version + 1));
         }
-        if is_everywhere {
-            return begun.elapsed();
+        if is_in_force {
+            return started.elapsed();
         }
     }
 }
 
 async fn measure_changes() {
-    println!("change accepted to in force at all of 5 entries, ms (target 2500 at worst)");
+    println!(
+        "time from submitting a change until it is in force at all 5 entries, ms (target: at most 2500)"
+    );
     let mut system = System::start(PROGRAM, 3, 5).await;
-    let mut calm = Vec::new();
+    let mut no_fault_ms = Vec::new();
     for version in 0..40 {
-        calm.push(time_in_force(&system, version).await.as_millis());
+        no_fault_ms.push(time_until_in_force(&system, version).await.as_millis());
     }
-    calm.sort_unstable();
-    println!("calm: p50 {} worst {} of 40", calm[20], calm[39]);
-    let mut killed = Vec::new();
+    no_fault_ms.sort_unstable();
+    println!("no fault: p50 {} max {} of 40", no_fault_ms[20], no_fault_ms[39]);
+    let mut leader_killed = Vec::new();
     for round in 0..10 {
         let leader = system.leader().await;
         system.group.kill(leader).expect("killed");
-        let begun = Instant::now();
+        let started = Instant::now();
         let answer = system.drain("nowhere", 40 + round).await;
         assert!(matches!(answer, ChangeAnswer::Accepted { .. }), "{answer:?}");
-        let accepted = begun.elapsed();
+        let accepted = started.elapsed();
         system.group.spawn(leader).expect("starts");
-        let mut missing: Vec<usize> =
+        let mut pending: Vec<usize> =
             (0..system.group.processes.len()).filter(|index| *index != leader).collect();
-        while !missing.is_empty() {
-            let endpoint = system.endpoint(missing[0]);
+        while !pending.is_empty() {
+            let endpoint = system.endpoint(pending[0]);
             let page =
                 system.operators.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
-            if page.is_ok_and(|p| p.drains.iter().any(|drain| drain.version.0 == 41 + round)) {
-                missing.remove(0);
+            if page.is_ok_and(|page| page.drains.iter().any(|drain| drain.version.0 == 41 + round))
+            {
+                pending.remove(0);
             }
         }
-        killed.push((begun.elapsed().as_millis(), accepted.as_millis()));
+        leader_killed.push((started.elapsed().as_millis(), accepted.as_millis()));
         pause(2_000).await;
     }
-    killed.sort_unstable();
-    println!("proposed at the kill of the leader: p50 {} worst {} of 10", killed[5].0, killed[9].0);
+    leader_killed.sort_unstable();
+    println!(
+        "submitted right after the leader is killed: p50 {} max {} of 10",
+        leader_killed[5].0, leader_killed[9].0
+    );
 }
 
 #[tokio::main]
 async fn main() {
-    let folder = tempfile::tempdir_in("target").expect("folder on this disk");
+    let folder = tempfile::tempdir_in("target").expect("temporary folder is created in target");
     measure_claims(folder.path()).await;
     measure_restart(&folder.path().join("restart")).await;
     measure_changes().await;
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -1,11 +1,11 @@
-//! Measures ways of choosing a server side by side: real pools' choice (`policy::ServiceLoad`)
-//! with fakes over sockets, interleaved, several repetitions.
+//! Compares server selectors: the selection of real pools (`policy::ServiceLoad`) with fake servers
+//! over sockets, in several interleaved rounds.
 //!
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_selection`
 
 use hawthornhill_testkit::{
-    FakeBehaviour, FakeServer, FakeServerSettings, HttpClient, HttpRequest, InFlightSelector,
-    RandomSelector, latency_histogram,
+    FakeBehaviour, FakeMode, FakeServer, FakeServerSettings, HttpClient, HttpRequest,
+    InFlightSelector, RandomSelector, latency_histogram,
 };
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
@@ -23,34 +23,46 @@
 use tokio::sync::oneshot;
 use types::{Announcement, ServerIncarnation, ServerRecord, ServerStage, ServerState, header};
 
-/// Repetitions of each case, all ways interleaved.
+/// Rounds of each case, with the selectors interleaved.
 const ROUNDS: u64 = 5;
-/// Entries that share the servers without knowing of each other's requests.
+/// Entries that share the servers; each counts only its own requests in flight.
 const ENTRIES: usize = 3;
 /// Length of one run.
-const RUN: Duration = Duration::from_millis(700);
+const RUN_TIME: Duration = Duration::from_millis(700);
+/// Service time of a request.
+const SERVICE_TIME: Duration = Duration::from_millis(8);
+/// Time for which a request occupies a slot, used to compute the capacity; longer than
+/// [`SERVICE_TIME`].
+const SLOT_TIME: Duration = Duration::from_micros(9_200);
+/// Length of the phases in which a noisy neighbour alternates between absent and present, in
+/// milliseconds.
+const NOISE_PHASE_MS: u128 = 60;
 
-/// What is wrong with one of the servers.
+/// Fault of one of the servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
+enum ServerFault {
     None,
+    /// Three times slower, in alternating phases.
     NoisyNeighbour,
+    /// Six times slower.
     SuddenlySlow,
+    /// Answers every request with status 500 at once.
     FailFast,
 }
 
-struct UserSize {
+/// Number and size of the servers of a user's service.
+struct ServiceSize {
     name: &'static str,
     servers: usize,
     slots: u32,
 }
 
-/// One entry's pool, with a queue for requests that find no room.
-struct Pool {
+/// One entry's pool, with a queue of requests that wait for free capacity.
+struct EntryPool {
     load: Mutex<(ServiceLoad, VecDeque<oneshot::Sender<()>>, SmallRng)>,
 }
 
-impl Pool {
+impl EntryPool {
     fn new(selector: Arc<dyn ServerSelector>, servers: &[FakeServer], seed: u64) -> Self {
         let mut load = ServiceLoad::new(LoadSettings {
             cold_concurrency: 1,
@@ -61,6 +73,8 @@
         Self { load: Mutex::new((load, VecDeque::new(), SmallRng::seed_from_u64(seed))) }
     }
 
+    /// Sends a request to a selected server. Returns whether it succeeded; a request that waits in
+    /// the queue until the deadline fails.
     async fn call(&self, client: &HttpClient, deadline: Instant) -> bool {
         let server = loop {
             let waiting = {
@@ -91,8 +105,8 @@
         };
         let (load, queue, _) = &mut *self.load.lock();
         load.release(&server, outcome, &stated, Instant::now());
-        while let Some(next) = queue.pop_front() {
-            if next.send(()).is_ok() {
+        while let Some(waiter) = queue.pop_front() {
+            if waiter.send(()).is_ok() {
                 break;
             }
         }
@@ -116,7 +130,7 @@
     ServerView { record, owner, may_warm: false, is_drained: false }
 }
 
-async fn start_servers(size: &UserSize) -> Vec<FakeServer> {
+async fn start_servers(size: &ServiceSize) -> Vec<FakeServer> {
     let mut servers = Vec::new();
     for number in 0..size.servers {
         let settings = FakeServerSettings {
@@ -129,7 +143,7 @@
         };
         let behaviour = FakeBehaviour {
             slots: size.slots,
-            service_time: Duration::from_millis(8),
+            service_time: SERVICE_TIME,
             jitter: 0.5,
             queue_limit: 16,
             ..FakeBehaviour::default()
@@ -139,36 +153,38 @@
     servers
 }
 
-fn set_trouble(server: &FakeServer, trouble: Trouble, on: bool) {
+fn set_fault(server: &FakeServer, fault: ServerFault, is_active: bool) {
     server.change(|behaviour| {
-        behaviour.slowness = match trouble {
-            Trouble::SuddenlySlow if on => 6.0,
-            Trouble::NoisyNeighbour if on => 3.0,
+        behaviour.slowdown = match fault {
+            ServerFault::SuddenlySlow if is_active => 6.0,
+            ServerFault::NoisyNeighbour if is_active => 3.0,
             _ => 1.0,
         };
-        behaviour.mode = match trouble {
-            Trouble::FailFast if on => hawthornhill_testkit::FakeMode::FailFast,
-            _ => hawthornhill_testkit::FakeMode::Normal,
+        behaviour.mode = match fault {
+            ServerFault::FailFast if is_active => FakeMode::FailFast,
+            _ => FakeMode::Normal,
         };
     });
 }
 
+/// Sends requests at a fixed rate for one run. Returns the latencies of the successful requests and
+/// the number of failed ones.
 async fn run_once(
     servers: &[FakeServer],
     selector: Arc<dyn ServerSelector>,
     rate: f64,
-    trouble: Trouble,
+    fault: ServerFault,
     seed: u64,
 ) -> (Histogram<u64>, u64) {
-    let pools: Arc<Vec<Pool>> = Arc::new(
-        (0..ENTRIES).map(|n| Pool::new(selector.clone(), servers, seed + n as u64)).collect(),
+    let pools: Arc<Vec<EntryPool>> = Arc::new(
+        (0..ENTRIES).map(|n| EntryPool::new(selector.clone(), servers, seed + n as u64)).collect(),
     );
     let client = HttpClient::default();
     let results = Arc::new(Mutex::new((latency_histogram(), 0_u64)));
-    let total = (rate * RUN.as_secs_f64()) as u64;
+    let total = (rate * RUN_TIME.as_secs_f64()) as u64;
     let shared = results.clone();
     let runtime = tokio::runtime::Handle::current();
-    let pacing = tokio::task::spawn_blocking(move || {
+    let scheduler = tokio::task::spawn_blocking(move || {
         let started = Instant::now();
         let mut tasks = Vec::new();
         for number in 0..total {
@@ -188,71 +204,76 @@
         }
         tasks
     });
-    // Trouble begins a quarter into the run; a noisy neighbour comes and goes.
-    let begun = Instant::now();
-    let mut is_on = false;
-    while begun.elapsed() < RUN {
-        let phase = begun.elapsed().as_millis();
-        let on = phase > RUN.as_millis() / 4
-            && (trouble != Trouble::NoisyNeighbour || (phase / 60).is_multiple_of(2));
-        if on != is_on {
-            set_trouble(&servers[0], trouble, on);
-            is_on = on;
+    // The fault starts after a quarter of the run; a noisy neighbour then alternates between
+    // phases.
+    let run_start = Instant::now();
+    let mut is_active = false;
+    while run_start.elapsed() < RUN_TIME {
+        let elapsed_ms = run_start.elapsed().as_millis();
+        let must_be_active = elapsed_ms > RUN_TIME.as_millis() / 4
+            && (fault != ServerFault::NoisyNeighbour
+                || (elapsed_ms / NOISE_PHASE_MS).is_multiple_of(2));
+        if must_be_active != is_active {
+            set_fault(&servers[0], fault, must_be_active);
+            is_active = must_be_active;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    for task in pacing.await.expect("paced") {
+    for task in scheduler.await.expect("the scheduler ends") {
         task.await.expect("a request ends");
     }
-    set_trouble(&servers[0], trouble, false);
-    let result = results.lock();
-    (result.0.clone(), result.1)
+    set_fault(&servers[0], fault, false);
+    let results = results.lock();
+    (results.0.clone(), results.1)
 }
 
 #[tokio::main]
 async fn main() {
     let sizes = [
-        UserSize { name: "Flakonwerk proofdesk", servers: 12, slots: 3 },
-        UserSize { name: "Plinoterm zaloga", servers: 11, slots: 2 },
+        ServiceSize { name: "Flakonwerk proofdesk", servers: 12, slots: 3 },
+        ServiceSize { name: "Plinoterm zaloga", servers: 11, slots: 2 },
     ];
-    let ways: [(&str, Arc<dyn ServerSelector>); 3] = [
+    let selectors: [(&str, Arc<dyn ServerSelector>); 3] = [
         ("random", Arc::new(RandomSelector)),
         ("two by in-flight", Arc::new(InFlightSelector)),
         ("two by latency", Arc::new(LatencySelector)),
     ];
     println!(
-        "medians of {ROUNDS} rounds (lowest to highest p99), {ENTRIES} entries, 8 ms a request"
+        "medians of {ROUNDS} rounds (lowest to highest p99), {ENTRIES} entries, 8 ms per request"
     );
     for size in &sizes {
         let servers = start_servers(size).await;
-        let capacity = size.servers as f64 * f64::from(size.slots) / 0.0092;
-        for trouble in
-            [Trouble::None, Trouble::NoisyNeighbour, Trouble::SuddenlySlow, Trouble::FailFast]
-        {
+        let capacity = size.servers as f64 * f64::from(size.slots) / SLOT_TIME.as_secs_f64();
+        for fault in [
+            ServerFault::None,
+            ServerFault::NoisyNeighbour,
+            ServerFault::SuddenlySlow,
+            ServerFault::FailFast,
+        ] {
             for share in [0.5, 0.7, 0.9, 1.1] {
-                let mut cards: Vec<Vec<(f64, f64, f64, u64)>> = vec![Vec::new(); ways.len()];
+                let mut results: Vec<Vec<(f64, f64, f64, u64)>> = vec![Vec::new(); selectors.len()];
                 for round in 0..ROUNDS {
-                    for (cards, (_, selector)) in cards.iter_mut().zip(&ways) {
+                    for (results, (_, selector)) in results.iter_mut().zip(&selectors) {
                         let rate = capacity * share;
                         let (latency, failed) =
-                            run_once(&servers, selector.clone(), rate, trouble, round).await;
+                            run_once(&servers, selector.clone(), rate, fault, round).await;
                         let ms = |q| latency.value_at_quantile(q) as f64 / 1_000.0;
-                        cards.push((ms(0.5), ms(0.99), ms(0.999), failed));
+                        results.push((ms(0.5), ms(0.99), ms(0.999), failed));
                     }
                 }
-                for (cards, (name, _)) in cards.iter_mut().zip(&ways) {
-                    cards.sort_by(|a, b| a.1.total_cmp(&b.1));
-                    let middle = cards[cards.len() / 2];
+                for (results, (name, _)) in results.iter_mut().zip(&selectors) {
+                    results.sort_by(|a, b| a.1.total_cmp(&b.1));
+                    let median = results[results.len() / 2];
                     println!(
-                        "{:<21} {trouble:<15?} {share:.1} {name:<17} p50 {:>6.1} p99 {:>6.1} \
+                        "{:<21} {fault:<15?} {share:.1} {name:<17} p50 {:>6.1} p99 {:>6.1} \
                          ({:.1}-{:.1}) p99.9 {:>6.1} failed {}",
                         size.name,
-                        middle.0,
-                        middle.1,
-                        cards[0].1,
-                        cards[cards.len() - 1].1,
-                        middle.2,
-                        middle.3
+                        median.0,
+                        median.1,
+                        results[0].1,
+                        results[results.len() - 1].1,
+                        median.2,
+                        median.3
                     );
                 }
             }
--- a/crates/testkit/examples/fake_server.rs
+++ b/crates/testkit/examples/fake_server.rs
@@ -1,5 +1,5 @@
-//! A fake server as a process, for the quick start: answers requests, announces itself, and prints
-//! the number of runs of each key at `GET /executions` and when it ends.
+//! A fake server as a process, for the quick start: answers requests, announces itself, keeps the
+//! number of requests run in a file, and announces that it is leaving on SIGTERM.
 
 use clap::Parser;
 use hawthornhill_testkit::{FakeBehaviour, FakeServer, FakeServerSettings, write_whole};
@@ -9,25 +9,25 @@
 /// Runs one fake server.
 #[derive(Debug, Parser)]
 struct Arguments {
-    /// Name.
+    /// Server name.
     #[arg(long)]
     name: ServerName,
-    /// Service.
+    /// Service that the server provides.
     #[arg(long)]
     service: ServiceName,
     /// Failure domain.
     #[arg(long)]
     domain: DomainName,
-    /// Entry to announce to; may be repeated.
+    /// Address of an entry to announce to; may be repeated.
     #[arg(long)]
     entry: Vec<SocketAddr>,
-    /// Requests run at the same time.
+    /// Number of requests that run concurrently.
     #[arg(long, default_value_t = 3)]
     slots: u32,
-    /// Time of a request in milliseconds.
+    /// Service time of a request, in milliseconds.
     #[arg(long, default_value_t = 1)]
     service_ms: u64,
-    /// File that always holds the number of requests run.
+    /// File to which the number of requests run is written every 50 ms.
     #[arg(long)]
     count_file: std::path::PathBuf,
 }
--- a/crates/testkit/src/announcer.rs
+++ b/crates/testkit/src/announcer.rs
@@ -1,14 +1,17 @@
-//! Announces a fake server to the first entry that takes it.
+//! Announces a fake server to the first entry that accepts it.
 
 use crate::http_client::{HttpClient, HttpRequest};
 use server::AnnounceAnswer;
 use std::{net::SocketAddr, time::Duration};
 use types::Announcement;
 
-/// Time allowed for one announcement.
+/// Timeout of an announcement to one entry.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Announces to the first of the entries that takes it. Returns `None` if none does.
+/// Sends an announcement to the entries in order, until one answers with status 200.
+///
+/// Returns that entry's answer, or `None` if no entry accepts the announcement or the answer cannot
+/// be parsed.
 pub async fn announce(
     entries: &[SocketAddr],
     announcement: &Announcement,
@@ -17,8 +20,8 @@
     let body = serde_json::to_vec(announcement).unwrap_or_default();
     for entry in entries {
         let request = HttpRequest::post("/v1/servers", body.clone());
-        let sent = tokio::time::timeout(ANNOUNCE_TIMEOUT, client.send(*entry, request)).await;
-        if let Ok(Ok(answer)) = sent
+        let result = tokio::time::timeout(ANNOUNCE_TIMEOUT, client.send(*entry, request)).await;
+        if let Ok(Ok(answer)) = result
             && answer.status == 200
         {
             return serde_json::from_slice(&answer.body).ok();
--- a/crates/testkit/src/behaviour.rs
+++ b/crates/testkit/src/behaviour.rs
@@ -1,62 +1,63 @@
-//! How a fake server behaves, and what it has seen.
+//! Configurable behaviour and statistics of a fake server.
 
 use std::{collections::HashMap, time::Duration};
 
-/// What the fake states about its load.
+/// The load that a fake server reports in its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReport {
-    /// Nothing.
-    Silent,
-    /// Its requests in flight.
-    True,
-    /// This number, whatever the truth.
-    Lie(u32),
+    /// No load is reported.
+    Omitted,
+    /// The number of requests in flight.
+    Actual,
+    /// A fixed number, independent of the requests in flight.
+    Fixed(u32),
 }
 
-/// The way in which requests are answered.
+/// How a fake server handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FakeMode {
-    /// Run and answered whole.
+    /// Runs the request and sends the complete answer.
     Normal,
-    /// Not run; answered at once with status 500.
+    /// Answers with status 500 at once, without running the request.
     FailFast,
-    /// Not run; answered with 503 and the header that says so.
+    /// Answers with status 503 and the header that marks the request as not run.
     ShedNotRun,
-    /// Run, then the answer is cut in the middle.
+    /// Runs the request, then breaks the answer off in the middle of the body.
     Truncate,
-    /// Run, then the connection is closed without an answer.
+    /// Runs the request, then closes the connection without an answer.
     DropAfterRun,
-    /// Not run; the connection is closed without an answer.
+    /// Closes the connection without an answer and without running the request.
     DropBeforeRun,
-    /// Run, but never answered.
+    /// Runs the request, but never answers.
     Hang,
 }
 
-/// How a fake server behaves at present.
+/// Current behaviour of a fake server.
 #[derive(Debug, Clone)]
 pub struct FakeBehaviour {
-    /// Way of answering.
+    /// How requests are handled.
     pub mode: FakeMode,
-    /// Requests that run at the same time; more wait.
+    /// Maximum number of concurrent requests; further requests are queued.
     pub slots: u32,
-    /// Requests that may wait; more are shed with "not run".
+    /// Maximum number of queued requests; further requests are shed as not run.
     pub queue_limit: u32,
-    /// Time that a request takes.
+    /// Mean time that a request takes, before `slowdown` is applied.
     pub service_time: Duration,
-    /// Spread of the service time: exponential with this share of the mean, 0 for none.
+    /// Share of the mean service time that is exponentially distributed, from 0 (none) to 1 (all).
     pub jitter: f64,
-    /// Factor on the service time.
-    pub slowness: f64,
-    /// Requests that the server bears at the same time while it is cold.
+    /// Factor by which the service time is multiplied.
+    pub slowdown: f64,
+    /// Maximum number of concurrent requests while the server is cold; further requests get status
+    /// 500.
     pub cold_bears: u32,
-    /// Requests after which it is warm; 0 if it starts warm.
+    /// Number of requests after which the server is warm; 0 if it starts warm.
     pub cold_requests: u32,
-    /// Stated load.
-    pub report: LoadReport,
-    /// Bytes of padding in an answer.
+    /// The load that answers report.
+    pub load_report: LoadReport,
+    /// Length of the padding in an answer's body, in bytes.
     pub padding: usize,
-    /// States on answers that it is leaving.
-    pub says_leaving: bool,
+    /// Whether answers report that the server is leaving.
+    pub is_leaving: bool,
 }
 
 impl Default for FakeBehaviour {
@@ -67,37 +68,37 @@
             queue_limit: 64,
             service_time: Duration::from_millis(1),
             jitter: 0.0,
-            slowness: 1.0,
+            slowdown: 1.0,
             cold_bears: 1,
             cold_requests: 0,
-            report: LoadReport::True,
+            load_report: LoadReport::Actual,
             padding: 64,
-            says_leaving: false,
+            is_leaving: false,
         }
     }
 }
 
-/// What a fake server has seen.
+/// Counters of a fake server.
 #[derive(Debug, Clone, Default)]
 pub struct FakeStats {
-    /// Requests that ran.
+    /// Requests that have run.
     pub executions: u64,
-    /// Runs of each idempotency key.
-    pub by_key: HashMap<String, u32>,
-    /// Requests received, run or not.
+    /// Number of executions for each idempotency key.
+    pub executions_by_key: HashMap<String, u32>,
+    /// Requests received, whether or not they ran. Probes are not included.
     pub received: u64,
     /// Probes received.
     pub probes: u64,
-    /// The most requests that were there at the same time.
-    pub most_in_flight: u32,
-    /// Requests that came while the cold server already had all that it bears.
+    /// Highest number of requests in flight at the same time.
+    pub max_in_flight: u32,
+    /// Requests received by the cold server beyond its `cold_bears`.
     pub cold_overloads: u64,
-    /// Requests whose connection was closed before they ended.
+    /// Requests whose connection was closed before they completed.
     pub cancelled: u64,
-    /// Deadline stated by the last request, in milliseconds.
+    /// Deadline header of the last request that ran, in milliseconds; 0 if absent.
     pub last_deadline_ms: u64,
-    /// Requests in flight.
+    /// Requests in flight, including queued ones.
     pub in_flight: u32,
-    /// Requests run since the last start.
+    /// Requests that have run since the last start.
     pub since_start: u32,
 }
--- a/crates/testkit/src/fake_server.rs
+++ b/crates/testkit/src/fake_server.rs
@@ -1,4 +1,4 @@
-//! A fake server: HTTP/1.1 with slots, a queue, a cold start and many ways to misbehave.
+//! A fake HTTP/1.1 server with slots, a queue, a cold start and configurable faults.
 
 use crate::{
     announcer::announce,
@@ -35,20 +35,20 @@
     Announcement, DomainName, ServerIncarnation, ServerName, ServerState, ServiceName, header,
 };
 
-/// Identity of a fake server.
+/// Identity and network settings of a fake server.
 #[derive(Debug, Clone)]
 pub struct FakeServerSettings {
-    /// Name.
+    /// Server name.
     pub name: ServerName,
-    /// Service.
+    /// Service that the server provides.
     pub service: ServiceName,
     /// Failure domain.
     pub domain: DomainName,
-    /// Entries to announce to.
+    /// Server addresses of the entries to announce to.
     pub entries: Vec<SocketAddr>,
-    /// Where to listen; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub address: SocketAddr,
-    /// Seed of service times.
+    /// Seed of the random service times.
     pub seed: u64,
 }
 
@@ -64,14 +64,18 @@
     state: Mutex<ServerState>,
 }
 
-/// A running fake server.
+/// A running fake server. Dropping it stops it as [`FakeServer::crash`] does.
 pub struct FakeServer {
     core: Arc<FakeCore>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl FakeServer {
-    /// Starts a server and its announcements.
+    /// Starts a server and its periodic announcements.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address cannot be bound.
     pub async fn start(settings: FakeServerSettings, behaviour: FakeBehaviour) -> io::Result<Self> {
         let listener = TcpListener::bind(settings.address).await?;
         let address = listener.local_addr()?;
@@ -87,8 +91,8 @@
             settings,
         });
         let tasks = vec![
-            tokio::spawn(accept(listener, core.clone())),
-            tokio::spawn(announce_forever(core.clone())),
+            tokio::spawn(accept_connections(listener, core.clone())),
+            tokio::spawn(announce_periodically(core.clone())),
         ];
         Ok(Self { core, tasks })
     }
@@ -103,40 +107,44 @@
         &self.core.settings.domain
     }
 
-    /// Returns where the server listens.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.core.address
     }
 
-    /// Returns the requests that the server runs at the same time.
+    /// Returns the number of requests that the server runs concurrently.
     pub fn slots(&self) -> u32 {
         self.core.behaviour.lock().slots
     }
 
-    /// Returns what the server has seen.
+    /// Returns a copy of the server's counters.
     pub fn stats(&self) -> FakeStats {
         self.core.stats.lock().clone()
     }
 
-    /// Changes the behaviour. The number of slots stays.
+    /// Changes the behaviour. Changing `slots` does not change how many requests run concurrently;
+    /// that is fixed when the server starts.
     pub fn change(&self, change: impl FnOnce(&mut FakeBehaviour)) {
         change(&mut self.core.behaviour.lock());
     }
 
-    /// Turns the server cold, as after a start that it does not announce.
+    /// Simulates a restart: raises the incarnation and makes the server cold.
+    ///
+    /// Sends no announcement of its own: answers and the next periodic announcement carry the new
+    /// incarnation.
     pub fn restart_silently(&self) {
         self.core.incarnation.fetch_add(1, Ordering::SeqCst);
         self.core.stats.lock().since_start = 0;
     }
 
-    /// Announces another state at once.
+    /// Changes the announced state and announces it at once.
     pub async fn set_state(&self, state: ServerState) {
         *self.core.state.lock() = state;
         let announcement = self.core.announcement();
         announce(&self.core.settings.entries, &announcement).await;
     }
 
-    /// Stops listening and announcing, as a crash does.
+    /// Stops listening and announcing without notice, as a crash does.
     pub fn crash(&mut self) {
         self.tasks.drain(..).for_each(|task| task.abort());
     }
@@ -162,25 +170,26 @@
         }
     }
 
-    /// Returns the time that the next request takes.
-    fn draw_service_time(&self) -> Duration {
+    /// Returns a random service time for the next request.
+    fn sample_service_time(&self) -> Duration {
         let (mean, jitter) = {
             let behaviour = self.behaviour.lock();
-            (behaviour.service_time.mul_f64(behaviour.slowness), behaviour.jitter)
+            (behaviour.service_time.mul_f64(behaviour.slowdown), behaviour.jitter)
         };
         let uniform: f64 = self.rng.lock().random_range(f64::EPSILON..1.0);
         mean.mul_f64(1.0 - jitter + jitter * -uniform.ln())
     }
 }
 
-/// Counts a request as in flight; a request that is dropped before its end was cancelled.
-struct InFlight {
+/// Counts a request as in flight while it exists. A request counts as cancelled if the guard is
+/// dropped before `is_done` is set.
+struct InFlightGuard {
     core: Arc<FakeCore>,
     is_done: bool,
 }
 
-impl InFlight {
-    /// Returns also whether the server was cold and had all that it bears already.
+impl InFlightGuard {
+    /// Counts a request. Also returns whether it exceeds the concurrency of a cold server.
     fn enter(core: &Arc<FakeCore>) -> (Self, bool) {
         let (cold_bears, cold_requests) = {
             let behaviour = core.behaviour.lock();
@@ -189,14 +198,14 @@
         let mut stats = core.stats.lock();
         stats.received += 1;
         stats.in_flight += 1;
-        stats.most_in_flight = stats.most_in_flight.max(stats.in_flight);
+        stats.max_in_flight = stats.max_in_flight.max(stats.in_flight);
         let is_overload = stats.since_start < cold_requests && stats.in_flight > cold_bears;
         stats.cold_overloads += u64::from(is_overload);
         (Self { core: core.clone(), is_done: false }, is_overload)
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut stats = self.core.stats.lock();
         stats.in_flight -= 1;
@@ -204,13 +213,13 @@
     }
 }
 
-async fn accept(listener: TcpListener, core: Arc<FakeCore>) {
+async fn accept_connections(listener: TcpListener, core: Arc<FakeCore>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connections.spawn(serve(stream, core.clone()));
+                    connections.spawn(serve_connection(stream, core.clone()));
                 }
             }
             Some(_) = connections.join_next() => {}
@@ -218,83 +227,90 @@
     }
 }
 
-async fn serve(stream: TcpStream, core: Arc<FakeCore>) {
+async fn serve_connection(stream: TcpStream, core: Arc<FakeCore>) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let core = core.clone();
-        async move { answer(request, core).await }
+        async move { handle_request(request, core).await }
     });
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
-async fn answer(
+async fn handle_request(
     request: Request<Incoming>,
     core: Arc<FakeCore>,
 ) -> Result<Response<FakeBody>, io::Error> {
     if request.uri().path() == "/probe" {
         core.stats.lock().probes += 1;
-        return Ok(Response::new(FakeBody::whole("ready\n".to_owned())));
+        return Ok(Response::new(FakeBody::complete("ready\n".to_owned())));
     }
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let (mut in_flight, is_cold_overload) = InFlight::enter(&core);
+    let (mut guard, is_cold_overload) = InFlightGuard::enter(&core);
     let (mode, queue_limit, slots) = {
         let behaviour = core.behaviour.lock();
         (behaviour.mode, behaviour.queue_limit, behaviour.slots)
     };
-    let present = core.stats.lock().in_flight;
-    let is_full = present > slots + queue_limit;
-    let end = match mode {
-        FakeMode::FailFast => Some(plain(&core, StatusCode::INTERNAL_SERVER_ERROR, false)),
+    let in_flight_count = core.stats.lock().in_flight;
+    let is_full = in_flight_count > slots + queue_limit;
+    let early_response = match mode {
+        FakeMode::FailFast => {
+            Some(status_response(&core, StatusCode::INTERNAL_SERVER_ERROR, false))
+        }
         FakeMode::DropBeforeRun => return Err(io::ErrorKind::ConnectionAborted.into()),
-        FakeMode::ShedNotRun => Some(plain(&core, StatusCode::SERVICE_UNAVAILABLE, true)),
-        _ if is_cold_overload => Some(plain(&core, StatusCode::INTERNAL_SERVER_ERROR, false)),
-        _ if is_full => Some(plain(&core, StatusCode::SERVICE_UNAVAILABLE, true)),
+        FakeMode::ShedNotRun => Some(status_response(&core, StatusCode::SERVICE_UNAVAILABLE, true)),
+        _ if is_cold_overload => {
+            Some(status_response(&core, StatusCode::INTERNAL_SERVER_ERROR, false))
+        }
+        _ if is_full => Some(status_response(&core, StatusCode::SERVICE_UNAVAILABLE, true)),
         _ => None,
     };
-    if let Some(response) = end {
-        in_flight.is_done = true;
+    if let Some(response) = early_response {
+        guard.is_done = true;
         return Ok(response);
     }
     let _slot = core.slots.acquire().await.map_err(io::Error::other)?;
-    note_execution(&core, &parts.headers);
-    let service_time = core.draw_service_time();
+    record_execution(&core, &parts.headers);
+    let service_time = core.sample_service_time();
     if !service_time.is_zero() {
         tokio::time::sleep(service_time).await;
     }
     if mode == FakeMode::Hang {
         std::future::pending::<()>().await;
     }
-    in_flight.is_done = true;
+    guard.is_done = true;
     if mode == FakeMode::DropAfterRun {
         return Err(io::ErrorKind::ConnectionAborted.into());
     }
-    let id = text(&parts.headers, header::REQUEST_ID);
+    let id = header_text(&parts.headers, header::REQUEST_ID);
     let padding = "x".repeat(core.behaviour.lock().padding);
     let (name, path) = (&core.settings.name, parts.uri.path());
     let content = format!("server={name} id={id} path={path} bytes={} {padding} end\n", body.len());
-    let body =
-        if mode == FakeMode::Truncate { FakeBody::cut(content) } else { FakeBody::whole(content) };
+    let body = if mode == FakeMode::Truncate {
+        FakeBody::truncated(content)
+    } else {
+        FakeBody::complete(content)
+    };
     let mut response = Response::new(body);
-    state_load(&core, response.headers_mut());
+    insert_server_headers(&core, response.headers_mut());
     Ok(response)
 }
 
-fn note_execution(core: &FakeCore, headers: &HeaderMap) {
+fn record_execution(core: &FakeCore, headers: &HeaderMap) {
     let mut stats = core.stats.lock();
     stats.executions += 1;
     stats.since_start += 1;
-    stats.last_deadline_ms = text(headers, header::DEADLINE).parse().unwrap_or(0);
-    let key = text(headers, header::IDEMPOTENCY_KEY);
+    stats.last_deadline_ms = header_text(headers, header::DEADLINE).parse().unwrap_or(0);
+    let key = header_text(headers, header::IDEMPOTENCY_KEY);
     if !key.is_empty() {
-        *stats.by_key.entry(key).or_default() += 1;
+        *stats.executions_by_key.entry(key).or_default() += 1;
     }
 }
 
-fn plain(core: &FakeCore, status: StatusCode, is_not_run: bool) -> Response<FakeBody> {
-    let mut response = Response::new(FakeBody::whole(format!("{status}\n")));
+fn status_response(core: &FakeCore, status: StatusCode, is_not_run: bool) -> Response<FakeBody> {
+    let mut response = Response::new(FakeBody::complete(format!("{status}\n")));
     *response.status_mut() = status;
-    state_load(core, response.headers_mut());
+    insert_server_headers(core, response.headers_mut());
     if is_not_run {
         response
             .headers_mut()
@@ -303,30 +319,31 @@
     response
 }
 
-fn state_load(core: &FakeCore, headers: &mut HeaderMap) {
+fn insert_server_headers(core: &FakeCore, headers: &mut HeaderMap) {
     let incarnation = core.incarnation.load(Ordering::SeqCst);
     headers.insert(HeaderName::from_static(header::INCARNATION), incarnation.into());
     let behaviour = core.behaviour.lock();
-    let load = match behaviour.report {
-        LoadReport::Silent => None,
-        LoadReport::True => Some(core.stats.lock().in_flight),
-        LoadReport::Lie(load) => Some(load),
+    let load = match behaviour.load_report {
+        LoadReport::Omitted => None,
+        LoadReport::Actual => Some(core.stats.lock().in_flight),
+        LoadReport::Fixed(load) => Some(load),
     };
     if let Some(load) = load {
         headers.insert(HeaderName::from_static(header::LOAD), load.into());
     }
-    if behaviour.says_leaving {
+    if behaviour.is_leaving {
         let leaving = HeaderValue::from_static("leaving");
         headers.insert(HeaderName::from_static(header::STATE), leaving);
     }
 }
 
-fn text(headers: &HeaderMap, name: &str) -> String {
+fn header_text(headers: &HeaderMap, name: &str) -> String {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
 }
 
-/// Announces as servers are asked to: to the owner that the last answer named, else to others.
-async fn announce_forever(core: Arc<FakeCore>) {
+/// Announces the server periodically to the owner named in the last answer, or, if that fails, to
+/// the other entries listed there. Falls back to the configured entries if none of them accepts.
+async fn announce_periodically(core: Arc<FakeCore>) {
     let mut targets = core.settings.entries.clone();
     loop {
         let answer = announce(&targets, &core.announcement()).await;
@@ -345,23 +362,23 @@
     }
 }
 
-/// A body that may break off in the middle.
+/// A response body that may break off in the middle of its declared content length.
 struct FakeBody {
     inner: Full<Bytes>,
-    declared: u64,
-    is_cut: bool,
+    content_length: u64,
+    is_truncated: bool,
 }
 
 impl FakeBody {
-    fn whole(content: String) -> Self {
-        let declared = content.len() as u64;
-        Self { inner: Full::new(Bytes::from(content)), declared, is_cut: false }
+    fn complete(content: String) -> Self {
+        let content_length = content.len() as u64;
+        Self { inner: Full::new(Bytes::from(content)), content_length, is_truncated: false }
     }
 
-    fn cut(content: String) -> Self {
-        let declared = content.len() as u64;
+    fn truncated(content: String) -> Self {
+        let content_length = content.len() as u64;
         let half = content[..content.len() / 2].to_owned();
-        Self { inner: Full::new(Bytes::from(half)), declared, is_cut: true }
+        Self { inner: Full::new(Bytes::from(half)), content_length, is_truncated: true }
     }
 }
 
@@ -375,7 +392,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match Pin::new(&mut self.inner).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => Poll::Ready(Some(Ok(frame))),
-            Poll::Ready(None) if self.is_cut => {
+            Poll::Ready(None) if self.is_truncated => {
                 Poll::Ready(Some(Err(io::ErrorKind::ConnectionReset.into())))
             }
             Poll::Ready(_) => Poll::Ready(None),
@@ -384,6 +401,6 @@
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
-        hyper::body::SizeHint::with_exact(self.declared)
+        hyper::body::SizeHint::with_exact(self.content_length)
     }
 }
--- a/crates/testkit/src/http_client.rs
+++ b/crates/testkit/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client with kept connections, as callers and servers have.
+//! A small HTTP/1.1 client with persistent connections, for the caller and server side of tests.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request};
@@ -9,10 +9,10 @@
 use std::{collections::HashMap, io, net::SocketAddr, sync::Arc};
 use tokio::net::TcpStream;
 
-/// A request.
+/// An HTTP request.
 #[derive(Debug, Clone)]
 pub struct HttpRequest {
-    /// Method.
+    /// Request method.
     pub method: Method,
     /// Path and query.
     pub path: String,
@@ -33,14 +33,14 @@
         Self { method: Method::POST, path: path.to_owned(), headers: Vec::new(), body }
     }
 
-    /// Returns the request with one more header field.
+    /// Adds a header field.
     pub fn with(mut self, name: &'static str, value: &str) -> Self {
         self.headers.push((name, value.to_owned()));
         self
     }
 }
 
-/// An answer, complete.
+/// A complete HTTP response.
 #[derive(Debug, Clone)]
 pub struct HttpAnswer {
     /// Status code.
@@ -52,34 +52,39 @@
 }
 
 impl HttpAnswer {
-    /// Returns a header field's value, empty if there is none.
+    /// Returns a header field's value, or an empty string if it is absent or not visible ASCII.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 
-    /// Returns the body as text.
+    /// Returns the body as text. Invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-type Kept = HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>;
+type IdleConnections = HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>;
 
-/// Sends requests over kept connections.
+/// Sends requests over a pool of persistent connections. Clones share the pool.
 #[derive(Clone, Default)]
 pub struct HttpClient {
-    kept: Arc<Mutex<Kept>>,
+    idle: Arc<Mutex<IdleConnections>>,
 }
 
 impl HttpClient {
-    /// Sends a request and returns the whole answer. A broken answer is an error.
+    /// Sends a request and returns the complete response.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection cannot be opened or breaks, if a header value is invalid, or if the
+    /// response is incomplete.
     pub async fn send(&self, address: SocketAddr, request: HttpRequest) -> io::Result<HttpAnswer> {
-        let kept = self.take(address);
-        let mut sender = match kept {
+        let idle = self.take_idle(address);
+        let mut sender = match idle {
             Some(sender) => sender,
-            None => open(address).await?,
+            None => connect(address).await?,
         };
-        let mut built = Request::builder()
+        let mut message = Request::builder()
             .method(request.method)
             .uri(request.path)
             .header(http::header::HOST, address.to_string())
@@ -87,20 +92,20 @@
             .map_err(io::Error::other)?;
         for (name, value) in request.headers {
             let value = HeaderValue::from_str(&value).map_err(io::Error::other)?;
-            built.headers_mut().insert(HeaderName::from_static(name), value);
+            message.headers_mut().insert(HeaderName::from_static(name), value);
         }
-        let response = sender.send_request(built).await.map_err(io::Error::other)?;
+        let response = sender.send_request(message).await.map_err(io::Error::other)?;
         let (parts, body) = response.into_parts();
         let body = body.collect().await.map_err(io::Error::other)?.to_bytes().to_vec();
         if sender.is_ready() {
-            self.kept.lock().entry(address).or_default().push(sender);
+            self.idle.lock().entry(address).or_default().push(sender);
         }
         Ok(HttpAnswer { status: parts.status.as_u16(), headers: parts.headers, body })
     }
 
-    fn take(&self, address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-        let mut kept = self.kept.lock();
-        let idle = kept.get_mut(&address)?;
+    fn take_idle(&self, address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+        let mut connections = self.idle.lock();
+        let idle = connections.get_mut(&address)?;
         while let Some(sender) = idle.pop() {
             if sender.is_ready() && !sender.is_closed() {
                 return Some(sender);
@@ -110,7 +115,7 @@
     }
 }
 
-async fn open(address: SocketAddr) -> io::Result<SendRequest<Full<Bytes>>> {
+async fn connect(address: SocketAddr) -> io::Result<SendRequest<Full<Bytes>>> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (sender, connection) =
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fakes for tests and measurements: a server, a load driver, a link that can be cut, and a group
-//! of real processes. Not shipped.
+//! Test doubles and drivers for tests and benchmarks: a fake server, an open-loop load driver, peer
+//! links that simulate network partitions, and groups of real processes. Not part of a release.
 
 mod announcer;
 mod behaviour;
@@ -18,7 +18,7 @@
 pub use fake_server::{FakeServer, FakeServerSettings};
 pub use http_client::{HttpAnswer, HttpClient, HttpRequest};
 pub use link_switch::LinkSwitch;
-pub use load_driver::{LoadPlan, LoadReportCard, latency_histogram, run_load};
+pub use load_driver::{LoadPlan, LoadResults, latency_histogram, run_load};
 pub use memory_net::MemoryNet;
 pub use process_group::{GroupSettings, ProcessGroup, free_addresses};
 pub use selectors::{InFlightSelector, RandomSelector};
--- a/crates/testkit/src/link_switch.rs
+++ b/crates/testkit/src/link_switch.rs
@@ -1,34 +1,36 @@
-//! A link that can be cut towards some processes, in one direction.
+//! A peer link that simulates one-way network partitions.
 
 use async_trait::async_trait;
 use parking_lot::Mutex;
 use peer::{PeerAnswer, PeerError, PeerLink, PeerRequest, PeerTarget};
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
-/// Passes messages on, except to the processes that it is cut from.
+/// Forwards messages to another link, except those to blocked addresses.
+///
+/// Only outgoing messages are blocked: a two-way partition needs the switches of both sides.
 pub struct LinkSwitch {
     inner: Arc<dyn PeerLink>,
-    cut: Mutex<BTreeSet<SocketAddr>>,
+    blocked: Mutex<BTreeSet<SocketAddr>>,
 }
 
 impl LinkSwitch {
-    /// Returns a switch that passes everything on.
+    /// Returns a switch that forwards all messages.
     pub fn new(inner: Arc<dyn PeerLink>) -> Arc<Self> {
-        Arc::new(Self { inner, cut: Mutex::default() })
+        Arc::new(Self { inner, blocked: Mutex::default() })
     }
 
-    /// Loses all messages to a process from now on.
+    /// Drops all further messages to a process.
     pub fn cut(&self, address: SocketAddr) {
-        self.cut.lock().insert(address);
+        self.blocked.lock().insert(address);
     }
 
-    /// Passes all messages on again.
+    /// Ends the partition: forwards messages to all processes again.
     pub fn heal(&self) {
-        self.cut.lock().clear();
+        self.blocked.lock().clear();
     }
 
-    fn is_cut(&self, address: SocketAddr) -> bool {
-        self.cut.lock().contains(&address)
+    fn is_blocked(&self, address: SocketAddr) -> bool {
+        self.blocked.lock().contains(&address)
     }
 }
 
@@ -41,8 +43,8 @@
         timeout: Duration,
     ) -> Result<PeerAnswer, PeerError> {
         let address = target.address;
-        if self.is_cut(address) {
-            // A silent cut shows only by the time that passes.
+        if self.is_blocked(address) {
+            // A partition drops packets silently, so the caller notices it only by its timeout.
             tokio::time::sleep(timeout).await;
             return Err(PeerError::TimedOut { address, timeout_ms: timeout.as_millis() as u64 });
         }
@@ -50,7 +52,7 @@
     }
 
     fn send(&self, target: &PeerTarget, request: PeerRequest) {
-        if !self.is_cut(target.address) {
+        if !self.is_blocked(target.address) {
             self.inner.send(target, request);
         }
     }
--- a/crates/testkit/src/load_driver.rs
+++ b/crates/testkit/src/load_driver.rs
@@ -1,5 +1,5 @@
-//! An open-loop load driver: requests start on schedule, whether or not earlier ones have ended,
-//! and latency counts from the scheduled time.
+//! An open-loop load driver: requests start on a fixed schedule, whether or not earlier ones have
+//! completed, and latency is measured from the scheduled start.
 
 use crate::http_client::{HttpClient, HttpRequest};
 use hdrhistogram::Histogram;
@@ -13,54 +13,56 @@
 use types::header;
 use uuid::Uuid;
 
-/// What to send.
+/// Target, rate and duration of a load run.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// Entries, used in turn.
+    /// Addresses to send to, in round-robin order.
     pub entries: Vec<SocketAddr>,
-    /// Path at each entry, such as `/v1/call/zaloga/stock`.
+    /// Request path, such as `/v1/call/zaloga/stock`.
     pub path: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long to send.
+    /// Duration of the run.
     pub duration: Duration,
-    /// Time allowed for each request, in milliseconds.
+    /// Value of each request's deadline header, in milliseconds.
     pub deadline_ms: u32,
-    /// Send POST requests, each with a key of its own.
+    /// Whether to send POST requests with a new idempotency key each, instead of GET requests.
     pub is_keyed: bool,
 }
 
-/// What came of it.
+/// Counts and latencies of a load run.
 #[derive(Debug, Clone)]
-pub struct LoadReportCard {
-    /// Latency of good answers in microseconds, from the scheduled time.
+pub struct LoadResults {
+    /// Latency of good answers in microseconds, from the scheduled start.
     pub latency: Histogram<u64>,
     /// Requests sent.
     pub sent: u64,
-    /// Whole answers with status 200 that belong to their request.
+    /// Complete answers with status 200 that contain the id of their request.
     pub good: u64,
-    /// Refusals with "not run".
+    /// Refusals with the outcome `not-run`.
     pub not_run: u64,
-    /// Answers with "unknown".
+    /// Answers with the outcome `unknown`.
     pub unknown: u64,
-    /// Other statuses from servers.
+    /// Answers with another status, without either of these outcomes.
     pub server_errors: u64,
-    /// Connections refused or broken.
+    /// Requests whose connection was refused or broke, or whose answer was incomplete.
     pub broken: u64,
-    /// Answers that belong to another request or are not whole. Must be 0.
+    /// Answers with status 200 that lack their request's id or the end of the content. Must be 0.
     pub wrong: u64,
-    /// Keys of requests that were answered with "not run".
+    /// Ids of the requests that were answered with `not-run`. With `is_keyed`, these are also their
+    /// idempotency keys.
     pub not_run_keys: Vec<String>,
 }
 
 /// Returns an empty histogram of latencies in microseconds, up to two minutes.
 ///
-/// One without bounds would record what it has no room for as its lowest value.
+/// The bounds are explicit because `saturating_record` on a histogram without bounds records values
+/// beyond its current range as its lowest value.
 pub fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 120_000_000, 3).unwrap_or_else(|_| unreachable!("valid bounds"))
 }
 
-impl Default for LoadReportCard {
+impl Default for LoadResults {
     fn default() -> Self {
         Self {
             latency: latency_histogram(),
@@ -76,14 +78,14 @@
     }
 }
 
-impl LoadReportCard {
+impl LoadResults {
     /// Returns a latency quantile in milliseconds.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// Returns one line with the counts and quantiles.
-    pub fn line(&self) -> String {
+    /// Returns one line with the counts and latency quantiles.
+    pub fn summary_line(&self) -> String {
         format!(
             "sent {} good {} not-run {} unknown {} 5xx {} broken {} wrong {} p50 {:.2} p99 {:.2} \
              p99.9 {:.2} ms",
@@ -101,14 +103,14 @@
     }
 }
 
-/// Sends requests as planned and waits for all answers.
+/// Sends requests according to a plan and waits until all have completed.
 ///
-/// A thread of its own keeps the schedule, as timers of the runtime are too coarse for it.
-pub async fn run_load(client: &HttpClient, plan: &LoadPlan) -> LoadReportCard {
-    let card = Arc::new(Mutex::new(LoadReportCard::default()));
-    let (client, plan, shared) = (client.clone(), plan.clone(), card.clone());
+/// A dedicated thread keeps the schedule, because the runtime's timers are too coarse for it.
+pub async fn run_load(client: &HttpClient, plan: &LoadPlan) -> LoadResults {
+    let results = Arc::new(Mutex::new(LoadResults::default()));
+    let (client, plan, shared_results) = (client.clone(), plan.clone(), results.clone());
     let runtime = Handle::current();
-    let pacing = tokio::task::spawn_blocking(move || {
+    let scheduler = tokio::task::spawn_blocking(move || {
         let started = Instant::now();
         let total = (plan.rate * plan.duration.as_secs_f64()) as u64;
         let mut requests = Vec::with_capacity(total as usize);
@@ -116,26 +118,26 @@
             let scheduled = started + Duration::from_secs_f64(number as f64 / plan.rate);
             std::thread::sleep(scheduled.saturating_duration_since(Instant::now()));
             let entry = plan.entries[number as usize % plan.entries.len()];
-            let (client, plan, card) = (client.clone(), plan.clone(), shared.clone());
+            let (client, plan, results) = (client.clone(), plan.clone(), shared_results.clone());
             requests.push(runtime.spawn(async move {
-                send_one(&client, &plan, entry, scheduled, &card).await;
+                send_request(&client, &plan, entry, scheduled, &results).await;
             }));
         }
         requests
     });
-    for request in pacing.await.unwrap_or_default() {
-        // A request that panicked is missing from the count of those sent.
+    for request in scheduler.await.unwrap_or_default() {
+        // A request whose task panicked is missing from `sent`.
         let _ = request.await;
     }
-    Arc::into_inner(card).map(Mutex::into_inner).unwrap_or_default()
+    Arc::into_inner(results).map(Mutex::into_inner).unwrap_or_default()
 }
 
-async fn send_one(
+async fn send_request(
     client: &HttpClient,
     plan: &LoadPlan,
     entry: SocketAddr,
     scheduled: Instant,
-    card: &Mutex<LoadReportCard>,
+    results: &Mutex<LoadResults>,
 ) {
     let id = Uuid::now_v7().to_string();
     let request = if plan.is_keyed {
@@ -147,27 +149,27 @@
         request.with(header::REQUEST_ID, &id).with(header::DEADLINE, &plan.deadline_ms.to_string());
     let answer = client.send(entry, request).await;
     let elapsed = scheduled.elapsed().as_micros() as u64;
-    let mut card = card.lock();
-    card.sent += 1;
+    let mut results = results.lock();
+    results.sent += 1;
     let Ok(answer) = answer else {
-        card.broken += 1;
+        results.broken += 1;
         return;
     };
     match (answer.status, answer.header(header::OUTCOME)) {
         (200, _) => {
             let text = answer.text();
             if text.contains(&id) && text.ends_with("end\n") {
-                card.good += 1;
-                card.latency.saturating_record(elapsed);
+                results.good += 1;
+                results.latency.saturating_record(elapsed);
             } else {
-                card.wrong += 1;
+                results.wrong += 1;
             }
         }
         (_, "not-run") => {
-            card.not_run += 1;
-            card.not_run_keys.push(id);
+            results.not_run += 1;
+            results.not_run_keys.push(id);
         }
-        (_, "unknown") => card.unknown += 1,
-        _ => card.server_errors += 1,
+        (_, "unknown") => results.unknown += 1,
+        _ => results.server_errors += 1,
     }
 }
--- a/crates/testkit/src/memory_net.rs
+++ b/crates/testkit/src/memory_net.rs
@@ -1,4 +1,4 @@
-//! Links between parts of one process, without sockets.
+//! In-process peer links without sockets.
 
 use async_trait::async_trait;
 use parking_lot::Mutex;
@@ -8,19 +8,19 @@
 
 type Handlers = HashMap<SocketAddr, Arc<dyn PeerHandler>>;
 
-/// Connects handlers by address.
+/// A network of in-process message handlers, identified by address.
 #[derive(Clone, Default)]
 pub struct MemoryNet {
     handlers: Arc<Mutex<Handlers>>,
 }
 
 impl MemoryNet {
-    /// Registers the handler of an address, in place of a former one.
+    /// Registers the handler of an address. Replaces the previous handler.
     pub fn register(&self, address: SocketAddr, handler: Arc<dyn PeerHandler>) {
         self.handlers.lock().insert(address, handler);
     }
 
-    /// Returns the link of a host.
+    /// Returns a link that sends messages on behalf of a host.
     pub fn link(&self, host: HostName) -> Arc<dyn PeerLink> {
         Arc::new(MemoryLink { host, net: self.clone() })
     }
@@ -45,7 +45,10 @@
     ) -> Result<PeerAnswer, PeerError> {
         let address = target.address;
         let Some(handler) = self.net.handler(address) else {
-            return Err(PeerError::NotReached { address, reason: "no such process".to_owned() });
+            return Err(PeerError::NotReached {
+                address,
+                reason: "no handler is registered".to_owned(),
+            });
         };
         let answer = tokio::time::timeout(timeout, handler.handle(&self.host, request)).await;
         let timeout_ms = timeout.as_millis() as u64;
--- a/crates/testkit/src/process_group.rs
+++ b/crates/testkit/src/process_group.rs
@@ -1,4 +1,4 @@
-//! A group of real daemon processes on loopback, for tests of kills and freezes.
+//! A group of real daemon processes on loopback, for tests that kill or suspend processes.
 
 use peer::KeyForge;
 use std::{
@@ -9,31 +9,32 @@
     sync::atomic::{AtomicU16, Ordering},
 };
 
-/// What a group consists of.
+/// Programs, folder and size of a process group.
 #[derive(Debug, Clone)]
 pub struct GroupSettings {
     /// Path of the `hawthornhill` program.
     pub program: PathBuf,
-    /// Path of the `hawthornctl` program, if it is used.
-    pub control: Option<PathBuf>,
-    /// Folder for keys, data, settings and logs.
+    /// Path of the `hawthornctl` program; needed for [`ProcessGroup::run_ctl`] only.
+    pub ctl_program: Option<PathBuf>,
+    /// Folder for the keys, data, settings and logs of all processes.
     pub folder: PathBuf,
-    /// Processes with the replica role.
+    /// Number of processes with the replica role.
     pub replicas: usize,
-    /// Processes with the entry role; the first ones share a process with a replica.
+    /// Number of processes with the entry role. Roles are assigned from the first process on, so
+    /// the first processes have both roles.
     pub entries: usize,
-    /// Failure domains, given to processes in turn.
+    /// Failure domains, assigned to the processes in round-robin order.
     pub domains: Vec<String>,
 }
 
-/// Addresses and state of one process.
+/// Addresses and state of one process in a group.
 #[derive(Debug)]
 pub struct GroupProcess {
     /// Host name.
     pub name: String,
     /// Failure domain.
     pub domain: String,
-    /// Address of links.
+    /// Address for connections from other processes.
     pub peer: SocketAddr,
     /// Address for callers.
     pub caller: SocketAddr,
@@ -44,15 +45,20 @@
     child: Option<Child>,
 }
 
-/// Running processes; killed when dropped.
+/// A group of running processes, which are killed on drop.
 pub struct ProcessGroup {
     settings: GroupSettings,
-    /// All processes.
+    /// All processes, running or not.
     pub processes: Vec<GroupProcess>,
 }
 
 impl ProcessGroup {
-    /// Makes keys and settings and starts all processes. The group of replicas is not formed yet.
+    /// Creates keys and settings and starts all processes. Does not bootstrap the replica group.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the keys or settings cannot be written, no ports are free, or a process cannot
+    /// start.
     pub fn start(settings: GroupSettings) -> io::Result<Self> {
         let count = settings.replicas.max(settings.entries);
         let authority = settings.folder.join("authority");
@@ -77,7 +83,7 @@
         Ok(group)
     }
 
-    /// Starts a process again.
+    /// Starts a process with its existing settings and appends its log output to its log file.
     pub fn spawn(&mut self, index: usize) -> io::Result<()> {
         let path = self.settings_path(index);
         let log = fs::File::options().create(true).append(true).open(path.with_extension("log"))?;
@@ -92,17 +98,17 @@
         Ok(())
     }
 
-    /// Returns a process's id, if it runs.
-    pub fn id(&self, index: usize) -> Option<u32> {
+    /// Returns a process's operating system id, or `None` after `kill` or `wait`.
+    pub fn pid(&self, index: usize) -> Option<u32> {
         self.processes[index].child.as_ref().map(Child::id)
     }
 
-    /// Returns what a process has logged so far.
+    /// Returns a process's log, or an empty string if it cannot be read.
     pub fn log(&self, index: usize) -> String {
         fs::read_to_string(self.settings_path(index).with_extension("log")).unwrap_or_default()
     }
 
-    /// Kills a process (SIGKILL).
+    /// Kills a process with SIGKILL and waits for its end.
     pub fn kill(&mut self, index: usize) -> io::Result<()> {
         if let Some(mut child) = self.processes[index].child.take() {
             child.kill()?;
@@ -111,17 +117,26 @@
         Ok(())
     }
 
-    /// Sends a signal by name, such as `STOP`, `CONT` or `TERM`.
+    /// Sends a process a signal, given by name, such as `STOP`, `CONT` or `TERM`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the signal cannot be sent. Does nothing if the process is not running.
     pub fn signal(&self, index: usize, name: &str) -> io::Result<()> {
         let Some(child) = &self.processes[index].child else {
             return Ok(());
         };
-        let status =
-            Command::new("kill").arg(format!("-{name}")).arg(child.id().to_string()).status()?;
-        if status.success() { Ok(()) } else { Err(io::Error::other("kill failed")) }
+        let pid = child.id();
+        let status = Command::new("kill").arg(format!("-{name}")).arg(pid.to_string()).status()?;
+        if status.success() {
+            Ok(())
+        } else {
+            Err(io::Error::other(format!("kill -{name} {pid} failed: {status}")))
+        }
     }
 
-    /// Waits for a process that was asked to stop. Returns whether it ended with success.
+    /// Waits for the end of a process that was told to stop. Returns whether its exit status was 0,
+    /// or `true` if it was not running.
     pub fn wait(&mut self, index: usize) -> io::Result<bool> {
         match self.processes[index].child.take() {
             Some(mut child) => Ok(child.wait()?.success()),
@@ -129,7 +144,7 @@
         }
     }
 
-    /// Loses the data folder of a process that does not run.
+    /// Deletes the data folder of a stopped process.
     pub fn wipe(&self, index: usize) -> io::Result<()> {
         fs::remove_dir_all(self.settings.folder.join(format!("data-{}", index + 1)))
     }
@@ -139,10 +154,17 @@
         self.settings.folder.join("operator")
     }
 
-    /// Runs `hawthornctl` against all processes. Returns its exit code and output.
-    pub fn control(&self, arguments: &[&str]) -> io::Result<(i32, String)> {
-        let program =
-            self.settings.control.as_ref().ok_or_else(|| io::Error::other("no control program"))?;
+    /// Runs `hawthornctl` with all processes as endpoints.
+    ///
+    /// Returns its exit code, -1 if a signal ended it, and its output followed by its error output.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the group has no `ctl_program` or the program cannot be run.
+    pub fn run_ctl(&self, arguments: &[&str]) -> io::Result<(i32, String)> {
+        let program = self.settings.ctl_program.as_ref().ok_or_else(|| {
+            io::Error::other("the group's settings do not name a hawthornctl program")
+        })?;
         let mut command = Command::new(program);
         command.arg("--key-folder").arg(self.operator_keys());
         for process in &self.processes {
@@ -196,7 +218,7 @@
     fn drop(&mut self) {
         for process in &mut self.processes {
             if let Some(mut child) = process.child.take() {
-                // Nothing is left to do for a process that has ended by itself.
+                // Errors mean that the process has already ended; there is nothing left to do.
                 let _ = child.kill();
                 let _ = child.wait();
             }
@@ -204,19 +226,27 @@
     }
 }
 
-/// The first port tried, below the range from which systems give ports to outgoing connections.
+/// First port to try. All ports tried lie below the ephemeral range, from which operating systems
+/// assign ports to outgoing connections.
 const FIRST_PORT: u16 = 10_000;
-/// Ports tried.
+/// Number of ports to try.
 const PORT_COUNT: u16 = 20_000;
 
-/// Returns four free loopback addresses that no outgoing connection will take meanwhile.
+/// Returns four loopback addresses whose ports are free for TCP and UDP.
+///
+/// The ports lie below the ephemeral range, so no outgoing connection takes one before it is bound.
+///
+/// # Errors
+///
+/// Fails with `AddrNotAvailable` if fewer than four ports are free.
 pub fn free_addresses() -> io::Result<[SocketAddr; 4]> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let offset = (std::process::id() % u32::from(PORT_COUNT)) as u16;
+    let process_offset = (std::process::id() % u32::from(PORT_COUNT)) as u16;
     let mut found = Vec::with_capacity(4);
     for _ in 0..PORT_COUNT {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed).wrapping_add(offset) % PORT_COUNT;
-        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + number));
+        let port_offset =
+            NEXT.fetch_add(1, Ordering::Relaxed).wrapping_add(process_offset) % PORT_COUNT;
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + port_offset));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             found.push(address);
         }
--- a/crates/testkit/src/selectors.rs
+++ b/crates/testkit/src/selectors.rs
@@ -1,36 +1,38 @@
-//! Ways of choosing a server that lost against `policy::LatencySelector`, kept to measure against.
+//! Server selectors that performed worse than `policy::LatencySelector`, kept as benchmark
+//! baselines.
 
 use policy::{CandidateLoad, ServerSelector};
 use rand::{Rng, RngCore, seq::IteratorRandom};
 
-/// Picks any server with room.
+/// Picks a random server with free capacity.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RandomSelector;
 
 impl ServerSelector for RandomSelector {
     fn pick(&self, candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize> {
-        with_room(candidates).choose(rng)
+        available_indexes(candidates).choose(rng)
     }
 }
 
-/// Picks the one with fewer own requests in flight, of two drawn at random.
+/// Draws two random servers with free capacity and picks the one that has fewer of this entry's
+/// requests in flight.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct InFlightSelector;
 
 impl ServerSelector for InFlightSelector {
     fn pick(&self, candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize> {
-        let first = with_room(candidates).choose(rng)?;
-        let others = with_room(candidates).filter(|index| *index != first);
+        let first = available_indexes(candidates).choose(rng)?;
+        let others = available_indexes(candidates).filter(|index| *index != first);
         let Some(second) = others.choose(rng) else {
             return Some(first);
         };
         let (a, b) = (candidates[first].in_flight, candidates[second].in_flight);
-        let takes_second = b < a || (a == b && rng.random_bool(0.5));
-        Some(if takes_second { second } else { first })
+        let is_second_better = b < a || (a == b && rng.random_bool(0.5));
+        Some(if is_second_better { second } else { first })
     }
 }
 
-fn with_room(candidates: &[CandidateLoad]) -> impl Iterator<Item = usize> + '_ {
+fn available_indexes(candidates: &[CandidateLoad]) -> impl Iterator<Item = usize> + '_ {
     let indexes = candidates.iter().enumerate();
     indexes.filter(|(_, candidate)| candidate.has_capacity()).map(|(index, _)| index)
 }
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -1,5 +1,5 @@
-//! A system of real processes with fake servers, for tests of kills, freezes and stops, and for
-//! measurements. Helpers panic where a test would fail.
+//! A system of real processes and fake servers, for benchmarks and for tests that kill, suspend or
+//! stop processes. Helpers panic on failure, so that the calling test fails.
 
 use crate::{
     FakeBehaviour, FakeServer, FakeServerSettings, GroupSettings, HttpAnswer, HttpClient,
@@ -19,21 +19,21 @@
 };
 use uuid::Uuid;
 
-/// The longest wait for a condition; only a fault makes a test wait that long.
-const PATIENCE: Duration = Duration::from_secs(40);
+/// Timeout of [`wait_until`]; reached only if there is a fault.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A running system.
+/// A running system. Its processes are killed and its files deleted on drop.
 pub struct System {
-    /// Its processes.
+    /// Processes of the system.
     pub group: ProcessGroup,
-    /// Connections of a caller.
+    /// Client for callers' requests.
     pub client: HttpClient,
-    /// Connections of an operator.
+    /// Client for operators' requests.
     pub operators: OperatorClient,
     _folder: TempDir,
 }
 
-/// Waits until a condition holds.
+/// Polls a condition every 50 ms until it holds. Panics with `what` after 40 s.
 pub async fn wait_until<F, R>(what: &str, mut condition: F)
 where
     F: FnMut() -> R,
@@ -41,17 +41,18 @@
 {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < PATIENCE, "waited in vain: {what}");
+        assert!(started.elapsed() < CONDITION_TIMEOUT, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Waits for some milliseconds.
+/// Sleeps for some milliseconds.
 pub async fn pause(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// The services of the tests: `look` may be repeated, `registry` may not, by POST.
+/// Returns a document with the services `look` and `book`. POST requests to `book` must not be
+/// repeated.
 pub fn document(timeout_ms: u32) -> TeamDocument {
     let spec = |name: &str| ServiceSpec {
         timeout_ms,
@@ -65,12 +66,14 @@
 }
 
 impl System {
-    /// Starts processes that are entry and replica each, forms the group, and applies a document.
+    /// Starts the processes, bootstraps the replica group and applies [`document`].
+    ///
+    /// The first processes have both the entry and the replica role.
     pub async fn start(program: &str, replicas: usize, entries: usize) -> Self {
         let folder = tempfile::tempdir().expect("folder");
         let settings = GroupSettings {
             program: PathBuf::from(program),
-            control: None,
+            ctl_program: None,
             folder: folder.path().to_owned(),
             replicas,
             entries,
@@ -79,28 +82,29 @@
         let group = ProcessGroup::start(settings).expect("processes start");
         let operators = OperatorClient::new(&group.operator_keys()).expect("keys");
         let system = Self { group, client: HttpClient::default(), operators, _folder: folder };
-        system.form(replicas).await;
+        system.bootstrap(replicas).await;
         let answer = system.change(0, ChangeAction::Document(document(5_000))).await;
         assert!(matches!(answer, ChangeAnswer::Accepted { .. }), "{answer:?}");
         system
     }
 
-    /// Returns where a process takes operators' requests.
+    /// Returns a process's endpoint for operators' requests.
     pub fn endpoint(&self, index: usize) -> OperatorEndpoint {
         let process = &self.group.processes[index];
         let host = process.name.parse().expect("valid");
         OperatorEndpoint { host, address: process.operator }
     }
 
-    /// Returns a process's status page, `None` if it does not answer.
+    /// Returns a process's status page, or `None` if it does not answer.
     pub async fn status(&self, index: usize) -> Option<StatusPage> {
         self.operators.get(&self.endpoint(index), "/v1/status").await.ok()
     }
 
-    async fn form(&self, replicas: usize) {
+    async fn bootstrap(&self, replicas: usize) {
         let mut members = Vec::new();
         for index in 0..replicas {
-            wait_until("process answers", || async { self.status(index).await.is_some() }).await;
+            wait_until("the process answers", || async { self.status(index).await.is_some() })
+                .await;
             let page = self.status(index).await.expect("answers");
             members.push(consensus::Member {
                 id: page.replica.expect("replica").id,
@@ -111,13 +115,14 @@
         }
         for index in 0..replicas {
             let path = "/v1/bootstrap";
-            let formed: Result<(), _> =
+            let result: Result<(), _> =
                 self.operators.post(&self.endpoint(index), path, &members).await;
-            formed.expect("group is formed");
+            result.expect("bootstrap succeeds");
         }
     }
 
-    /// Returns the index of the leading process.
+    /// Returns the index of the process whose replica is the leader. Panics if there is none after
+    /// 400 polls.
     pub async fn leader(&self) -> usize {
         for _ in 0..400 {
             for index in 0..self.group.processes.len() {
@@ -131,7 +136,8 @@
         panic!("no leader");
     }
 
-    /// Decides a change, resending it with the same id until its fate is known.
+    /// Submits a change to the processes in turn until one answers. The id stays the same, so the
+    /// change is decided once. Panics after 20 rounds.
     pub async fn decide(&self, change: &ChangeRequest) -> ChangeAnswer {
         for _ in 0..20 {
             for index in 0..self.group.processes.len() {
@@ -145,25 +151,25 @@
         panic!("the change was not decided");
     }
 
-    /// Decides a change under a new id.
+    /// Submits a change with a new id and returns the answer.
     pub async fn change(&self, expected: u64, action: ChangeAction) -> ChangeAnswer {
         let id = ChangeId(Uuid::now_v7());
         let expected_version = DocumentVersion(expected);
         self.decide(&ChangeRequest { id, expected_version, action }).await
     }
 
-    /// Takes a failure domain out of service.
+    /// Drains a failure domain.
     pub async fn drain(&self, domain: &str, expected: u64) -> ChangeAnswer {
         let domain = domain.parse().expect("valid");
         self.change(expected, ChangeAction::Drain(domain)).await
     }
 
-    /// Starts a fake server that announces itself to all entries.
+    /// Starts a fake server with default behaviour that announces itself to the processes.
     pub async fn server(&self, name: &str, service: &str, domain: &str) -> FakeServer {
         self.server_with(name, service, domain, FakeBehaviour::default()).await
     }
 
-    /// Starts a fake server with a behaviour.
+    /// Starts a fake server with the given behaviour that announces itself to the processes.
     pub async fn server_with(
         &self,
         name: &str,
@@ -182,26 +188,28 @@
         FakeServer::start(settings, behaviour).await.expect("server starts")
     }
 
-    /// Returns where an entry takes callers' requests.
+    /// Returns an entry's address for callers' requests.
     pub fn caller(&self, index: usize) -> SocketAddr {
         self.group.processes[index].caller
     }
 
-    /// Sends a request to an entry. `None` if the entry did not answer.
+    /// Sends a GET request for service `look` to an entry. Returns `None` if the entry does not
+    /// answer.
     pub async fn look(&self, index: usize) -> Option<HttpAnswer> {
         self.client.send(self.caller(index), HttpRequest::get("/v1/call/look/x")).await.ok()
     }
 
-    /// Sends a booking with a key to an entry. `None` if the entry did not answer.
+    /// Sends a POST request for service `book` with an idempotency key to an entry. Returns `None`
+    /// if the entry does not answer.
     pub async fn registry(&self, index: usize, key: &str, body: &str) -> Option<HttpAnswer> {
         let request = HttpRequest::post("/v1/call/book/x", body.as_bytes().to_vec())
             .with(header::IDEMPOTENCY_KEY, key);
         self.client.send(self.caller(index), request).await.ok()
     }
 
-    /// Waits until an entry serves lookups or bookings.
+    /// Waits until an entry answers requests for service `look` or `book` with status 200.
     pub async fn wait_served(&self, index: usize, service: &str) {
-        wait_until("the entry serves", || async {
+        wait_until("the entry answers with status 200", || async {
             let answer = match service {
                 "look" => self.look(index).await,
                 _ => self.registry(index, &new_key(), "warm").await,
@@ -211,9 +219,10 @@
         .await;
     }
 
-    /// Waits until all servers of an entry are warm there.
+    /// Sends requests for service `look` to an entry until its status page shows at least `count`
+    /// warm servers.
     pub async fn wait_warm(&self, index: usize, count: usize) {
-        wait_until("servers are warm", || async {
+        wait_until("the servers are warm", || async {
             let _ = self.look(index).await;
             let page = self.status(index).await.and_then(|page| page.entry);
             page.is_some_and(|entry| {
@@ -230,12 +239,15 @@
     Uuid::now_v7().to_string()
 }
 
-/// Returns the outcome that an answer states.
+/// Returns the outcome header of an answer, or an empty string if it is absent.
 pub fn outcome(answer: &HttpAnswer) -> &str {
     answer.header(header::OUTCOME)
 }
 
-/// Returns the runs of a key over all servers.
+/// Returns how often requests with a key have run, over all given servers.
 pub fn runs(servers: &[&FakeServer], key: &str) -> u32 {
-    servers.iter().map(|server| server.stats().by_key.get(key).copied().unwrap_or(0)).sum()
+    servers
+        .iter()
+        .map(|server| server.stats().executions_by_key.get(key).copied().unwrap_or(0))
+        .sum()
 }
--- a/crates/testkit/src/whole_file.rs
+++ b/crates/testkit/src/whole_file.rs
@@ -1,14 +1,16 @@
-//! Files that other processes read while they are written.
+//! Atomic replacement of files that other processes read at the same time.
 
 use std::{fs, io, path::Path};
 
-/// Replaces a file by a rename, so that no reader finds it empty or half written.
+/// Replaces a file's content atomically, so that readers never see it empty or partially written.
+///
+/// Writes a temporary file next to it, with the extension `new`, and renames that file.
 ///
 /// # Errors
 ///
-/// Fails if the file beside it cannot be written or renamed.
+/// Fails if the temporary file cannot be written or renamed.
 pub fn write_whole(path: &Path, text: &str) -> io::Result<()> {
-    let beside = path.with_extension("new");
-    fs::write(&beside, text)?;
-    fs::rename(&beside, path)
+    let temporary = path.with_extension("new");
+    fs::write(&temporary, text)?;
+    fs::rename(&temporary, path)
 }
--- a/crates/testkit/tests/whole_file.rs
+++ b/crates/testkit/tests/whole_file.rs
@@ -1,4 +1,4 @@
-//! Count files of fake servers, as a script reads them while the server runs.
+//! Tests of the files in which fake servers count requests while a script reads them.
 
 use hawthornhill_testkit::write_whole;
 use std::{
@@ -7,11 +7,12 @@
     thread,
 };
 
-/// Found by the quick start, which failed in half of its runs: it read a count file between the
-/// truncation and the write, took the count for none, and then the next count for new work.
+/// Guards against readers that see a truncated file. The quick start failed in half of its runs
+/// because it read a count file between truncation and write, found no count in it, and then took
+/// the next count as new requests.
 #[test]
 fn reader_never_finds_the_file_empty() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder is created");
     let path = folder.path().join("server.count");
     write_whole(&path, "0\n").expect("written");
     let is_over = AtomicBool::new(false);
@@ -23,7 +24,7 @@
             is_over.store(true, Ordering::SeqCst);
         });
         while !is_over.load(Ordering::SeqCst) {
-            let text = fs::read_to_string(&path).expect("there at any time");
+            let text = fs::read_to_string(&path).expect("file exists");
             assert!(text.ends_with('\n'), "read {text:?}");
         }
     });
