--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -20,9 +20,9 @@
     for _ in 0..30 {
         let key = new_key();
         let (a, b, c) = tokio::join!(
-            system.registry(0, &key, "x"),
-            system.registry(1, &key, "x"),
-            system.registry(2, &key, "x")
+            system.send_booking(0, &key, "x"),
+            system.send_booking(1, &key, "x"),
+            system.send_booking(2, &key, "x")
         );
         let answers: Vec<_> =
             [a, b, c].into_iter().map(|answer| answer.expect("answers")).collect();
@@ -33,22 +33,22 @@
 
     // The answer is lost and the request resent elsewhere.
     let key = new_key();
-    assert_eq!(system.registry(0, &key, "x").await.expect("answers").status, 200);
+    assert_eq!(system.send_booking(0, &key, "x").await.expect("answers").status, 200);
     pause(300).await;
-    let again = system.registry(1, &key, "x").await.expect("answers");
+    let again = system.send_booking(1, &key, "x").await.expect("answers");
     assert_eq!((again.status, outcome(&again)), (409, "ran"));
 
     // The same key with another body.
-    let other = system.registry(2, &key, "y").await.expect("answers");
+    let other = system.send_booking(2, &key, "y").await.expect("answers");
     assert_eq!((other.status, outcome(&other)), (422, "unknown"));
     assert_eq!(runs(&servers, &key), 1);
 
     // A key that is too old, and one that is no UUIDv7.
     let old = uuid::Builder::from_unix_timestamp_millis(1_000, &[7; 10]).into_uuid().to_string();
-    let answer = system.registry(0, &old, "x").await.expect("answers");
+    let answer = system.send_booking(0, &old, "x").await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (409, "unknown"));
     let bad = uuid::Uuid::from_u128(5).to_string();
-    let answer = system.registry(0, &bad, "x").await.expect("answers");
+    let answer = system.send_booking(0, &bad, "x").await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (400, "not-run"));
     assert_eq!(runs(&servers, &old) + runs(&servers, &bad), 0);
 }
@@ -73,12 +73,12 @@
         system.wait_served(0, "book").await;
         servers.iter().for_each(|server| server.change(|b| b.mode = mode));
         let key = new_key();
-        let answer = system.registry(0, &key, "x").await.expect("answers");
+        let answer = system.send_booking(0, &key, "x").await.expect("answers");
         assert_eq!((answer.status, outcome(&answer)), (status, expected), "{mode:?}");
         assert_eq!(runs(&servers, &key), count, "{mode:?}");
         servers.iter().for_each(|server| server.change(|b| b.mode = FakeMode::Normal));
         system.wait_served(0, "book").await;
-        let again = system.registry(0, &key, "x").await.expect("answers");
+        let again = system.send_booking(0, &key, "x").await.expect("answers");
         if expected == "not-run" {
             assert_eq!((again.status, runs(&servers, &key)), (200, 1), "{mode:?}");
         } else {
@@ -102,7 +102,7 @@
             let key = new_key();
             for attempt in 0..12 {
                 let index = (number + attempt) % system.group.processes.len();
-                let answer = system.registry(index, &key, "x").await;
+                let answer = system.send_booking(index, &key, "x").await;
                 let said = answer.as_ref().map_or("none", |answer| outcome(answer)).to_owned();
                 answers.entry(key.clone()).or_default().push(said.clone());
                 if said == "ran" {
@@ -174,7 +174,7 @@
         pause(delay_ms).await;
         system.group.kill(0).expect("killed");
         assert!(sent.await.expect("joined").is_err(), "the entry was killed first");
-        let again = system.registry(1, &key, "x").await.expect("answers");
+        let again = system.send_booking(1, &key, "x").await.expect("answers");
         pause(800).await;
         let count = runs(&servers, &key);
         assert!(count <= 1, "{count} runs after {delay_ms} ms");
@@ -190,7 +190,7 @@
     let server = system.server("b-1", "book", "east").await;
     system.wait_served(0, "book").await;
     let key = new_key();
-    assert_eq!(system.registry(0, &key, "x").await.expect("answers").status, 200);
+    assert_eq!(system.send_booking(0, &key, "x").await.expect("answers").status, 200);
     // Two of three lose their processes, and one of these its disk: no quorum remembers the claim.
     let leader = system.leader().await;
     let (other, wiped) = ((leader + 1) % 3, (leader + 2) % 3);
@@ -199,7 +199,7 @@
     system.group.wipe(wiped).expect("wiped");
     system.group.spawn(wiped).expect("starts");
     for _ in 0..10 {
-        let answer = system.registry(other, &key, "x").await.expect("answers");
+        let answer = system.send_booking(other, &key, "x").await.expect("answers");
         assert_ne!(answer.status, 200);
         assert_ne!(outcome(&answer), "not-run", "it ran");
         pause(300).await;
@@ -208,7 +208,7 @@
     // With the disk that remembers back, the system serves and still knows the claim.
     system.group.spawn(leader).expect("starts");
     system.wait_served(other, "book").await;
-    let answer = system.registry(other, &key, "x").await.expect("answers");
+    let answer = system.send_booking(other, &key, "x").await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (409, "ran"));
     assert_eq!(runs(&[&server], &key), 1);
 }
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -28,7 +28,7 @@
         let answer = system.look(3).await.expect("answers");
         assert_eq!((answer.status, outcome(&answer)), (503, "not-run"));
         assert!(!answer.header("retry-after").is_empty(), "says when to come back");
-        let keyed = system.registry(3, &new_key(), "x").await.expect("answers");
+        let keyed = system.send_booking(3, &new_key(), "x").await.expect("answers");
         assert_eq!((keyed.status, outcome(&keyed)), (503, "unknown"), "it cannot look the key up");
     }
     assert_eq!(server.stats().received, before);
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -201,7 +201,7 @@
 
     /// Sends a POST request for service `book` with an idempotency key to an entry. Returns `None`
     /// if the entry does not answer.
-    pub async fn registry(&self, index: usize, key: &str, body: &str) -> Option<HttpAnswer> {
+    pub async fn send_booking(&self, index: usize, key: &str, body: &str) -> Option<HttpAnswer> {
         let request = HttpRequest::post("/v1/call/book/x", body.as_bytes().to_vec())
             .with(header::IDEMPOTENCY_KEY, key);
         self.client.send(self.caller(index), request).await.ok()
@@ -212,7 +212,7 @@
         wait_until("the entry answers with status 200", || async {
             let answer = match service {
                 "look" => self.look(index).await,
-                _ => self.registry(index, &new_key(), "warm").await,
+                _ => self.send_booking(index, &new_key(), "warm").await,
             };
             answer.is_some_and(|answer| answer.status == 200)
         })
