--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -25,7 +25,7 @@
     pause(limit_ms() + 100).await;
     let before = server.stats().received;
     for _ in 0..20 {
-        let answer = system.look(3).await.expect("answers");
+        let answer = system.send_lookup(3).await.expect("answers");
         assert_eq!((answer.status, outcome(&answer)), (503, "not-run"));
         assert!(!answer.header("retry-after").is_empty(), "says when to come back");
         let keyed = system.send_booking(3, &new_key(), "x").await.expect("answers");
@@ -59,7 +59,7 @@
     while waiting.join_next().await.is_some() {}
     system.wait_served(3, "look").await;
     for _ in 0..50 {
-        let _ = system.look(3).await;
+        let _ = system.send_lookup(3).await;
     }
     assert_eq!(drained.stats().received, before, "the drained domain got new work");
     assert!(other.stats().received > 0);
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -29,7 +29,7 @@
     while !stop.load(Ordering::SeqCst) {
         let index = number % system.group.processes.len();
         number += 1;
-        match system.look(index).await {
+        match system.send_lookup(index).await {
             Some(answer) if answer.status == 200 && answer.text().ends_with("end\n") => {}
             Some(answer) if outcome(&answer) == "not-run" => {}
             Some(answer) => bad.push(format!("{} {}", answer.status, answer.text())),
@@ -164,7 +164,7 @@
     .await;
     let before: Vec<u64> = servers.iter().map(|server| server.stats().received).collect();
     wait_until("all servers get work", || async {
-        let _ = system.look(0).await;
+        let _ = system.send_lookup(0).await;
         servers.iter().zip(&before).all(|(server, before)| server.stats().received > *before)
     })
     .await;
@@ -311,7 +311,7 @@
     server.change(|behaviour| behaviour.mode = FakeMode::Truncate);
     other.change(|behaviour| behaviour.padding = 100_000);
     for _ in 0..60 {
-        let answer = system.look(0).await.expect("answers");
+        let answer = system.send_lookup(0).await.expect("answers");
         let id = answer.header(types::header::REQUEST_ID).to_owned();
         if answer.status == 200 {
             assert!(answer.text().contains(&id) && answer.text().ends_with("end\n"));
@@ -394,7 +394,7 @@
     let logs = || (0..3).map(|index| system.group.log(index)).collect::<Vec<_>>();
     let before = logs();
     for number in 0..3_000 {
-        let _ = system.look(number % 3).await;
+        let _ = system.send_lookup(number % 3).await;
     }
     assert_eq!(logs(), before, "lines are for changes of state only");
 }
@@ -409,7 +409,7 @@
     system.wait_warm(0, 4).await;
     // Answers by which the entry knows the common latency, and by which its budgets fill.
     for _ in 0..300 {
-        let _ = system.look(0).await;
+        let _ = system.send_lookup(0).await;
     }
     for mode in [FakeMode::Hang, FakeMode::DropAfterRun, FakeMode::ShedNotRun, FakeMode::FailFast] {
         servers[0].change(|behaviour| behaviour.mode = mode);
@@ -430,7 +430,7 @@
         wait_until("it gets work again", || async {
             let before = servers[0].stats().executions;
             for _ in 0..20 {
-                let _ = system.look(0).await;
+                let _ = system.send_lookup(0).await;
             }
             servers[0].stats().executions > before
         })
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -195,7 +195,7 @@
 
     /// Sends a GET request for service `look` to an entry. Returns `None` if the entry does not
     /// answer.
-    pub async fn look(&self, index: usize) -> Option<HttpAnswer> {
+    pub async fn send_lookup(&self, index: usize) -> Option<HttpAnswer> {
         self.client.send(self.caller(index), HttpRequest::get("/v1/call/look/x")).await.ok()
     }
 
@@ -211,7 +211,7 @@
     pub async fn wait_served(&self, index: usize, service: &str) {
         wait_until("the entry answers with status 200", || async {
             let answer = match service {
-                "look" => self.look(index).await,
+                "look" => self.send_lookup(index).await,
                 _ => self.send_booking(index, &new_key(), "warm").await,
             };
             answer.is_some_and(|answer| answer.status == 200)
@@ -223,7 +223,7 @@
     /// warm servers.
     pub async fn wait_warm(&self, index: usize, count: usize) {
         wait_until("the servers are warm", || async {
-            let _ = self.look(index).await;
+            let _ = self.send_lookup(index).await;
             let page = self.status(index).await.and_then(|page| page.entry);
             page.is_some_and(|entry| {
                 let warm = |row: &&operator::ServerRow| row.stage == types::ServerStage::Warm;
