--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -221,8 +221,8 @@
         let key = new_key();
         let request = || {
             HttpRequest::post("/v1/call/najem/x", b"x".to_vec())
-                .with(header::IDEMPOTENCY_KEY, &key)
-                .with(header::REQUEST_ID, &key)
+                .with_header(header::IDEMPOTENCY_KEY, &key)
+                .with_header(header::REQUEST_ID, &key)
         };
         wait_until("the booking runs", || async {
             let answer = client.send(entry, request()).await;
@@ -247,7 +247,7 @@
 
     // A lookup whose first server breaks is tried at the other.
     let look = |id: String| {
-        let request = HttpRequest::get("/v1/call/zaloga/x").with(header::REQUEST_ID, &id);
+        let request = HttpRequest::get("/v1/call/zaloga/x").with_header(header::REQUEST_ID, &id);
         let client = client.clone();
         async move { client.send(entries[0], request).await }
     };
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -169,7 +169,7 @@
         let key = new_key();
         let (client, address) = (system.client.clone(), system.caller(0));
         let request = testkit::HttpRequest::post("/v1/call/book/x", b"x".to_vec())
-            .with(types::header::IDEMPOTENCY_KEY, &key);
+            .with_header(types::header::IDEMPOTENCY_KEY, &key);
         let sent = tokio::spawn(async move { client.send(address, request).await });
         pause(delay_ms).await;
         system.group.kill(0).expect("killed");
@@ -229,7 +229,7 @@
         for _ in 0..4 {
             let key = new_key();
             let request = testkit::HttpRequest::get("/v1/call/look/x")
-                .with(types::header::IDEMPOTENCY_KEY, &key);
+                .with_header(types::header::IDEMPOTENCY_KEY, &key);
             let answer = system.client.send(system.caller(0), request).await.expect("answers");
             let count = runs(&[&running], &key);
             checked += count;
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -334,10 +334,30 @@
         (caller, get("/v1/call/LOOK/x"), 400, "service"),
         (caller, get(&format!("/v1/call/{long}/x")), 400, "service"),
         (caller, get("/v1/call/none/x"), 404, "service"),
-        (caller, get("/v1/call/look/x").with("hawthornhill-deadline-ms", "0"), 400, "deadline"),
-        (caller, get("/v1/call/look/x").with("hawthornhill-deadline-ms", "1e9"), 400, "deadline"),
-        (caller, get("/v1/call/look/x").with("idempotency-key", "7"), 400, "idempotency-key"),
-        (caller, get("/v1/call/look/x").with("hawthornhill-request-id", "z"), 400, "request-id"),
+        (
+            caller,
+            get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "0"),
+            400,
+            "deadline",
+        ),
+        (
+            caller,
+            get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "1e9"),
+            400,
+            "deadline",
+        ),
+        (
+            caller,
+            get("/v1/call/look/x").with_header("idempotency-key", "7"),
+            400,
+            "idempotency-key",
+        ),
+        (
+            caller,
+            get("/v1/call/look/x").with_header("hawthornhill-request-id", "z"),
+            400,
+            "request-id",
+        ),
         (caller, HttpRequest::post("/v1/call/look/x", vec![0; 2_000_000]), 413, "body"),
         (server, HttpRequest::post("/v1/servers", b"{}".to_vec()), 400, "server"),
         (server, HttpRequest::post("/v1/servers", vec![b'['; 5_000]), 413, "announcement"),
@@ -375,7 +395,8 @@
     let server = system.server("l-1", "look", "east").await;
     system.wait_warm(0, 1).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Hang);
-    let request = HttpRequest::get("/v1/call/look/x").with("hawthornhill-deadline-ms", "300");
+    let request =
+        HttpRequest::get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "300");
     let answer = system.client.send(system.caller(0), request).await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (504, "unknown"));
     let passed_on = server.stats().last_deadline_ms;
@@ -417,7 +438,7 @@
         let mut failed = 0;
         for _ in 0..200 {
             let request =
-                HttpRequest::get("/v1/call/look/x").with("hawthornhill-deadline-ms", "1000");
+                HttpRequest::get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "1000");
             let answer = system.client.send(system.caller(0), request).await.expect("answers");
             failed += u32::from(answer.status != 200);
         }
--- a/crates/testkit/src/http_client.rs
+++ b/crates/testkit/src/http_client.rs
@@ -34,7 +34,7 @@
     }
 
     /// Adds a header field.
-    pub fn with(mut self, name: &'static str, value: &str) -> Self {
+    pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         self.headers.push((name, value.to_owned()));
         self
     }
--- a/crates/testkit/src/load_driver.rs
+++ b/crates/testkit/src/load_driver.rs
@@ -141,12 +141,13 @@
 ) {
     let id = Uuid::now_v7().to_string();
     let request = if plan.is_keyed {
-        HttpRequest::post(&plan.path, b"order".to_vec()).with(header::IDEMPOTENCY_KEY, &id)
+        HttpRequest::post(&plan.path, b"order".to_vec()).with_header(header::IDEMPOTENCY_KEY, &id)
     } else {
         HttpRequest::get(&plan.path)
     };
-    let request =
-        request.with(header::REQUEST_ID, &id).with(header::DEADLINE, &plan.deadline_ms.to_string());
+    let request = request
+        .with_header(header::REQUEST_ID, &id)
+        .with_header(header::DEADLINE, &plan.deadline_ms.to_string());
     let answer = client.send(entry, request).await;
     let elapsed = scheduled.elapsed().as_micros() as u64;
     let mut results = results.lock();
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -203,7 +203,7 @@
     /// if the entry does not answer.
     pub async fn send_booking(&self, index: usize, key: &str, body: &str) -> Option<HttpAnswer> {
         let request = HttpRequest::post("/v1/call/book/x", body.as_bytes().to_vec())
-            .with(header::IDEMPOTENCY_KEY, key);
+            .with_header(header::IDEMPOTENCY_KEY, key);
         self.client.send(self.caller(index), request).await.ok()
     }
 
