--- a/crates/replica/tests/driver.rs
+++ b/crates/replica/tests/driver.rs
@@ -136,9 +136,9 @@
     fn isolate(&self, lone: usize) {
         for (index, node) in self.nodes.iter().enumerate() {
             if index == lone {
-                (0..self.nodes.len() as u64).for_each(|n| node.switch.cut(address(n + 1)));
+                (0..self.nodes.len() as u64).for_each(|n| node.switch.block(address(n + 1)));
             } else {
-                node.switch.cut(address(lone as u64 + 1));
+                node.switch.block(address(lone as u64 + 1));
             }
         }
     }
--- a/crates/testkit/src/link_switch.rs
+++ b/crates/testkit/src/link_switch.rs
@@ -20,7 +20,7 @@
     }
 
     /// Drops all further messages to a process.
-    pub fn cut(&self, address: SocketAddr) {
+    pub fn block(&self, address: SocketAddr) {
         self.blocked.lock().insert(address);
     }
 
