--- a/crates/testkit/src/behaviour.rs
+++ b/crates/testkit/src/behaviour.rs
@@ -49,7 +49,7 @@
     pub slowdown: f64,
     /// Maximum number of concurrent requests while the server is cold; further requests get status
     /// 500.
-    pub cold_bears: u32,
+    pub cold_concurrency: u32,
     /// Number of requests after which the server is warm; 0 if it starts warm.
     pub cold_requests: u32,
     /// The load that answers report.
@@ -69,7 +69,7 @@
             service_time: Duration::from_millis(1),
             jitter: 0.0,
             slowdown: 1.0,
-            cold_bears: 1,
+            cold_concurrency: 1,
             cold_requests: 0,
             load_report: LoadReport::Actual,
             padding: 64,
@@ -91,7 +91,7 @@
     pub probes: u64,
     /// Highest number of requests in flight at the same time.
     pub max_in_flight: u32,
-    /// Requests received by the cold server beyond its `cold_bears`.
+    /// Requests received by the cold server beyond its `cold_concurrency`.
     pub cold_overloads: u64,
     /// Requests whose connection was closed before they completed.
     pub cancelled: u64,
