--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -90,7 +90,7 @@
 fn cold(requests: u32) -> FakeBehaviour {
     FakeBehaviour {
         cold_concurrency: 1,
-        cold_requests: requests,
+        warm_up_requests: requests,
         service_time: Duration::from_millis(3),
         ..FakeBehaviour::default()
     }
--- a/crates/testkit/examples/fake_server.rs
+++ b/crates/testkit/examples/fake_server.rs
@@ -46,7 +46,7 @@
     let behaviour = FakeBehaviour {
         slots: arguments.slots,
         service_time: Duration::from_millis(arguments.service_ms),
-        cold_requests: 20,
+        warm_up_requests: 20,
         ..FakeBehaviour::default()
     };
     let server = FakeServer::start(settings, behaviour).await?;
--- a/crates/testkit/src/behaviour.rs
+++ b/crates/testkit/src/behaviour.rs
@@ -51,7 +51,7 @@
     /// 500.
     pub cold_concurrency: u32,
     /// Number of requests after which the server is warm; 0 if it starts warm.
-    pub cold_requests: u32,
+    pub warm_up_requests: u32,
     /// The load that answers report.
     pub load_report: LoadReport,
     /// Length of the padding in an answer's body, in bytes.
@@ -70,7 +70,7 @@
             jitter: 0.0,
             slowdown: 1.0,
             cold_concurrency: 1,
-            cold_requests: 0,
+            warm_up_requests: 0,
             load_report: LoadReport::Actual,
             padding: 64,
             is_leaving: false,
--- a/crates/testkit/src/fake_server.rs
+++ b/crates/testkit/src/fake_server.rs
@@ -191,15 +191,16 @@
 impl InFlightGuard {
     /// Counts a request. Also returns whether it exceeds the concurrency of a cold server.
     fn enter(core: &Arc<FakeCore>) -> (Self, bool) {
-        let (cold_concurrency, cold_requests) = {
+        let (cold_concurrency, warm_up_requests) = {
             let behaviour = core.behaviour.lock();
-            (behaviour.cold_concurrency, behaviour.cold_requests)
+            (behaviour.cold_concurrency, behaviour.warm_up_requests)
         };
         let mut stats = core.stats.lock();
         stats.received += 1;
         stats.in_flight += 1;
         stats.max_in_flight = stats.max_in_flight.max(stats.in_flight);
-        let is_overload = stats.since_start < cold_requests && stats.in_flight > cold_concurrency;
+        let is_overload =
+            stats.since_start < warm_up_requests && stats.in_flight > cold_concurrency;
         stats.cold_overloads += u64::from(is_overload);
         (Self { core: core.clone(), is_done: false }, is_overload)
     }
