--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -309,7 +309,7 @@
     let other = system.server("l-2", "look", "west").await;
     system.wait_warm(0, 2).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Truncate);
-    other.change(|behaviour| behaviour.padding = 100_000);
+    other.change(|behaviour| behaviour.padding_bytes = 100_000);
     for _ in 0..60 {
         let answer = system.send_lookup(0).await.expect("answers");
         let id = answer.header(types::header::REQUEST_ID).to_owned();
--- a/crates/testkit/src/behaviour.rs
+++ b/crates/testkit/src/behaviour.rs
@@ -55,7 +55,7 @@
     /// The load that answers report.
     pub load_report: LoadReport,
     /// Length of the padding in an answer's body, in bytes.
-    pub padding: usize,
+    pub padding_bytes: usize,
     /// Whether answers report that the server is leaving.
     pub is_leaving: bool,
 }
@@ -72,7 +72,7 @@
             cold_concurrency: 1,
             warm_up_requests: 0,
             load_report: LoadReport::Actual,
-            padding: 64,
+            padding_bytes: 64,
             is_leaving: false,
         }
     }
--- a/crates/testkit/src/fake_server.rs
+++ b/crates/testkit/src/fake_server.rs
@@ -284,7 +284,7 @@
         return Err(io::ErrorKind::ConnectionAborted.into());
     }
     let id = header_text(&parts.headers, header::REQUEST_ID);
-    let padding = "x".repeat(core.behaviour.lock().padding);
+    let padding = "x".repeat(core.behaviour.lock().padding_bytes);
     let (name, path) = (&core.settings.name, parts.uri.path());
     let content = format!("server={name} id={id} path={path} bytes={} {padding} end\n", body.len());
     let body = if mode == FakeMode::Truncate {
