--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -122,8 +122,9 @@
         system.server_with("l-2", "look", "west", cold(8)).await,
         system.server_with("l-3", "look", "east", cold(8)).await,
     ];
-    let all_warm =
-        |servers: &[FakeServer]| servers.iter().all(|server| server.stats().since_start > 60);
+    let all_warm = |servers: &[FakeServer]| {
+        servers.iter().all(|server| server.stats().executions_since_start > 60)
+    };
     press(&system, || all_warm(&servers)).await;
     // A whole failure domain returns at once: all its servers announce new, cold starts.
     for server in &servers {
--- a/crates/testkit/src/behaviour.rs
+++ b/crates/testkit/src/behaviour.rs
@@ -100,5 +100,5 @@
     /// Requests in flight, including queued ones.
     pub in_flight: u32,
     /// Requests that have run since the last start.
-    pub since_start: u32,
+    pub executions_since_start: u32,
 }
--- a/crates/testkit/src/fake_server.rs
+++ b/crates/testkit/src/fake_server.rs
@@ -134,7 +134,7 @@
     /// incarnation.
     pub fn restart_silently(&self) {
         self.core.incarnation.fetch_add(1, Ordering::SeqCst);
-        self.core.stats.lock().since_start = 0;
+        self.core.stats.lock().executions_since_start = 0;
     }
 
     /// Changes the announced state and announces it at once.
@@ -200,7 +200,7 @@
         stats.in_flight += 1;
         stats.max_in_flight = stats.max_in_flight.max(stats.in_flight);
         let is_overload =
-            stats.since_start < warm_up_requests && stats.in_flight > cold_concurrency;
+            stats.executions_since_start < warm_up_requests && stats.in_flight > cold_concurrency;
         stats.cold_overloads += u64::from(is_overload);
         (Self { core: core.clone(), is_done: false }, is_overload)
     }
@@ -300,7 +300,7 @@
 fn record_execution(core: &FakeCore, headers: &HeaderMap) {
     let mut stats = core.stats.lock();
     stats.executions += 1;
-    stats.since_start += 1;
+    stats.executions_since_start += 1;
     stats.last_deadline_ms = header_text(headers, header::DEADLINE).parse().unwrap_or(0);
     let key = header_text(headers, header::IDEMPOTENCY_KEY);
     if !key.is_empty() {
