--- a/crates/testkit/examples/fake_server.rs
+++ b/crates/testkit/examples/fake_server.rs
@@ -2,7 +2,7 @@
 //! number of requests run in a file, and announces that it is leaving on SIGTERM.
 
 use clap::Parser;
-use hawthornhill_testkit::{FakeBehaviour, FakeServer, FakeServerSettings, write_whole};
+use hawthornhill_testkit::{FakeBehaviour, FakeServer, FakeServerSettings, write_atomically};
 use std::{net::SocketAddr, time::Duration};
 use types::{DomainName, ServerName, ServerState, ServiceName};
 
@@ -52,7 +52,7 @@
     let server = FakeServer::start(settings, behaviour).await?;
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     loop {
-        write_whole(&arguments.count_file, &format!("{}\n", server.stats().executions))?;
+        write_atomically(&arguments.count_file, &format!("{}\n", server.stats().executions))?;
         tokio::select! {
             _ = terminate.recv() => break,
             () = tokio::time::sleep(Duration::from_millis(50)) => {}
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -23,4 +23,4 @@
 pub use process_group::{GroupSettings, ProcessGroup, free_addresses};
 pub use selectors::{InFlightSelector, RandomSelector};
 pub use system::{System, document, new_key, outcome, pause, runs, wait_until};
-pub use whole_file::write_whole;
+pub use whole_file::write_atomically;
--- a/crates/testkit/src/whole_file.rs
+++ b/crates/testkit/src/whole_file.rs
@@ -9,7 +9,7 @@
 /// # Errors
 ///
 /// Fails if the temporary file cannot be written or renamed.
-pub fn write_whole(path: &Path, text: &str) -> io::Result<()> {
+pub fn write_atomically(path: &Path, text: &str) -> io::Result<()> {
     let temporary = path.with_extension("new");
     fs::write(&temporary, text)?;
     fs::rename(&temporary, path)
--- a/crates/testkit/tests/whole_file.rs
+++ b/crates/testkit/tests/whole_file.rs
@@ -1,6 +1,6 @@
 //! Tests of the files in which fake servers count requests while a script reads them.
 
-use hawthornhill_testkit::write_whole;
+use hawthornhill_testkit::write_atomically;
 use std::{
     fs,
     sync::atomic::{AtomicBool, Ordering},
@@ -14,12 +14,12 @@
 fn reader_never_finds_the_file_empty() {
     let folder = tempfile::tempdir().expect("temporary folder is created");
     let path = folder.path().join("server.count");
-    write_whole(&path, "0\n").expect("written");
+    write_atomically(&path, "0\n").expect("written");
     let is_over = AtomicBool::new(false);
     thread::scope(|scope| {
         scope.spawn(|| {
             for count in 0..5_000 {
-                write_whole(&path, &format!("{count}\n")).expect("written");
+                write_atomically(&path, &format!("{count}\n")).expect("written");
             }
             is_over.store(true, Ordering::SeqCst);
         });
