--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -13,7 +13,7 @@
     let second = system.server("b-2", "book", "west").await;
     let servers = [&first, &second];
     for index in 0..3 {
-        system.wait_served(index, "book").await;
+        system.wait_until_served(index, "book").await;
     }
 
     // Three entries race with one key.
@@ -59,7 +59,7 @@
     let first = system.server("b-1", "book", "east").await;
     let second = system.server("b-2", "book", "west").await;
     let servers = [&first, &second];
-    system.wait_served(0, "book").await;
+    system.wait_until_served(0, "book").await;
     let cases = [
         (FakeMode::DropAfterRun, 502, "unknown", 1),
         (FakeMode::Truncate, 502, "unknown", 1),
@@ -70,14 +70,14 @@
     for (mode, status, expected, count) in cases {
         // Broken answers make servers cold again, so each case starts with servers that serve.
         servers.iter().for_each(|server| server.change(|b| b.mode = FakeMode::Normal));
-        system.wait_served(0, "book").await;
+        system.wait_until_served(0, "book").await;
         servers.iter().for_each(|server| server.change(|b| b.mode = mode));
         let key = new_key();
         let answer = system.send_booking(0, &key, "x").await.expect("answers");
         assert_eq!((answer.status, outcome(&answer)), (status, expected), "{mode:?}");
         assert_eq!(runs(&servers, &key), count, "{mode:?}");
         servers.iter().for_each(|server| server.change(|b| b.mode = FakeMode::Normal));
-        system.wait_served(0, "book").await;
+        system.wait_until_served(0, "book").await;
         let again = system.send_booking(0, &key, "x").await.expect("answers");
         if expected == "not-run" {
             assert_eq!((again.status, runs(&servers, &key)), (200, 1), "{mode:?}");
@@ -137,12 +137,12 @@
     let mut system = System::start(PROGRAM, 3, 3).await;
     let first = system.server("b-1", "book", "east").await;
     let second = system.server("b-2", "book", "west").await;
-    system.wait_served(0, "book").await;
+    system.wait_until_served(0, "book").await;
     let leader = system.leader().await;
     system.group.kill(leader).expect("killed");
     book_through_trouble(&system, &[&first, &second], 60, async {}).await;
     system.group.spawn(leader).expect("starts");
-    system.wait_served(leader, "book").await;
+    system.wait_until_served(leader, "book").await;
     let next = system.leader().await;
     system.group.signal(next, "STOP").expect("frozen");
     let group = &system.group;
@@ -163,7 +163,7 @@
     let first = system.server_with("b-1", "book", "east", slow.clone()).await;
     let second = system.server_with("b-2", "book", "west", slow).await;
     let servers = [&first, &second];
-    system.wait_served(0, "book").await;
+    system.wait_until_served(0, "book").await;
     // The entry is killed at moments before and after the first byte leaves.
     for delay_ms in [0, 2, 5, 10, 100, 400] {
         let key = new_key();
@@ -180,7 +180,7 @@
         assert!(count <= 1, "{count} runs after {delay_ms} ms");
         assert!(!(outcome(&again) == "not-run" && count > 0), "after {delay_ms} ms");
         system.group.spawn(0).expect("starts");
-        system.wait_served(0, "book").await;
+        system.wait_until_served(0, "book").await;
     }
 }
 
@@ -188,7 +188,7 @@
 async fn a_replica_with_a_wiped_disk_helps_no_second_claim_through() {
     let mut system = System::start(PROGRAM, 3, 3).await;
     let server = system.server("b-1", "book", "east").await;
-    system.wait_served(0, "book").await;
+    system.wait_until_served(0, "book").await;
     let key = new_key();
     assert_eq!(system.send_booking(0, &key, "x").await.expect("answers").status, 200);
     // Two of three lose their processes, and one of these its disk: no quorum remembers the claim.
@@ -207,7 +207,7 @@
     assert_eq!(runs(&[&server], &key), 1);
     // With the disk that remembers back, the system serves and still knows the claim.
     system.group.spawn(leader).expect("starts");
-    system.wait_served(other, "book").await;
+    system.wait_until_served(other, "book").await;
     let answer = system.send_booking(other, &key, "x").await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (409, "ran"));
     assert_eq!(runs(&[&server], &key), 1);
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -19,7 +19,7 @@
 async fn without_a_majority_entries_close_and_with_it_they_open() {
     let mut system = System::start(PROGRAM, 3, 4).await;
     let server = system.server("l-1", "look", "east").await;
-    system.wait_served(3, "look").await;
+    system.wait_until_served(3, "look").await;
     system.group.kill(0).expect("killed");
     system.group.kill(1).expect("killed");
     pause(limit_ms() + 100).await;
@@ -33,7 +33,7 @@
     }
     assert_eq!(server.stats().received, before);
     system.group.spawn(0).expect("starts");
-    system.wait_served(3, "look").await;
+    system.wait_until_served(3, "look").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -57,7 +57,7 @@
     let before = drained.stats().received;
     system.group.signal(3, "CONT").expect("thawed");
     while waiting.join_next().await.is_some() {}
-    system.wait_served(3, "look").await;
+    system.wait_until_served(3, "look").await;
     for _ in 0..50 {
         let _ = system.send_lookup(3).await;
     }
@@ -69,13 +69,13 @@
 async fn a_frozen_leader_neither_stops_the_system_nor_reverts_a_change() {
     let system = System::start(PROGRAM, 3, 4).await;
     let _server = system.server("l-1", "look", "west").await;
-    system.wait_served(3, "look").await;
+    system.wait_until_served(3, "look").await;
     let leader = system.leader().await;
     system.group.signal(leader, "STOP").expect("frozen");
     // A new leader is found, and entries serve on.
     let answer = system.drain("east", 0).await;
     assert_eq!(answer, ChangeAnswer::Accepted { version: DocumentVersion(1) });
-    system.wait_served(3, "look").await;
+    system.wait_until_served(3, "look").await;
     // In force two seconds after it was accepted, and from then on.
     pause(limit_ms()).await;
     assert!(has_drain(&system, 3).await, "the change is not in force");
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -290,7 +290,7 @@
         system.group.signal(index, "TERM").expect("asked to stop");
         assert!(system.group.wait(index).expect("ends"), "host {index} stopped uncleanly");
         system.group.spawn(index).expect("starts");
-        system.wait_served(index, "look").await;
+        system.wait_until_served(index, "look").await;
     }
     stop.store(true, Ordering::SeqCst);
     let mut total = 0;
@@ -326,7 +326,7 @@
 async fn bad_input_of_callers_and_servers_is_refused_with_the_field() {
     let system = System::start(PROGRAM, 1, 1).await;
     let _server = system.server("l-1", "look", "east").await;
-    system.wait_served(0, "look").await;
+    system.wait_until_served(0, "look").await;
     let (caller, server) = (system.caller(0), system.group.processes[0].server);
     let get = HttpRequest::get;
     let long = "x".repeat(80);
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -208,7 +208,7 @@
     }
 
     /// Waits until an entry answers requests for service `look` or `book` with status 200.
-    pub async fn wait_served(&self, index: usize, service: &str) {
+    pub async fn wait_until_served(&self, index: usize, service: &str) {
         wait_until("the entry answers with status 200", || async {
             let answer = match service {
                 "look" => self.send_lookup(index).await,
