--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -223,7 +223,7 @@
         for server in [&running, &shedding] {
             server.change(|behaviour| behaviour.mode = FakeMode::Normal);
         }
-        system.wait_warm(0, 2).await;
+        system.wait_until_warm(0, 2).await;
         running.change(|behaviour| behaviour.mode = FakeMode::DropAfterRun);
         shedding.change(|behaviour| behaviour.mode = FakeMode::ShedNotRun);
         for _ in 0..4 {
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -41,7 +41,7 @@
     let system = System::start(PROGRAM, 3, 4).await;
     let drained = system.server("l-1", "look", "east").await;
     let other = system.server("l-2", "look", "west").await;
-    system.wait_warm(3, 2).await;
+    system.wait_until_warm(3, 2).await;
     system.group.signal(3, "STOP").expect("frozen");
     // These wait in the sockets and queues of the frozen process.
     let mut waiting = tokio::task::JoinSet::new();
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -46,7 +46,7 @@
     let east = system.server("l-1", "look", "east").await;
     let west = system.server("l-2", "look", "west").await;
     for index in 0..3 {
-        system.wait_warm(index, 2).await;
+        system.wait_until_warm(index, 2).await;
     }
     let stop = AtomicBool::new(false);
     let drill = async {
@@ -71,7 +71,7 @@
     let leaving = system.server("l-1", "look", "east").await;
     let staying = system.server("l-2", "look", "west").await;
     for index in 0..3 {
-        system.wait_warm(index, 2).await;
+        system.wait_until_warm(index, 2).await;
     }
     let stop = AtomicBool::new(false);
     let drill = async {
@@ -149,7 +149,7 @@
     for number in 0..6 {
         servers.push(system.server(&format!("l-{number}"), "look", "west").await);
     }
-    system.wait_warm(0, 6).await;
+    system.wait_until_warm(0, 6).await;
     let page = system.status(0).await.and_then(|page| page.entry).expect("entry");
     assert!(page.servers.iter().any(|row| row.owner.as_str() == "host-4"));
     system.group.kill(3).expect("killed");
@@ -186,7 +186,7 @@
     for number in 0..6 {
         servers.push(system.server(&format!("l-{number}"), "look", "west").await);
     }
-    system.wait_warm(0, 6).await;
+    system.wait_until_warm(0, 6).await;
     let mut counts: Vec<Vec<(Instant, u64)>> = vec![Vec::new(); servers.len()];
     let started = Instant::now();
     let mut step = 0;
@@ -263,7 +263,7 @@
     let first = system.server_with("l-1", "look", "east", slow.clone()).await;
     let second = system.server_with("l-2", "look", "west", slow).await;
     for index in 0..3 {
-        system.wait_warm(index, 2).await;
+        system.wait_until_warm(index, 2).await;
     }
     let stop = Arc::new(AtomicBool::new(false));
     let mut callers = tokio::task::JoinSet::new();
@@ -308,7 +308,7 @@
     let system = System::start(PROGRAM, 1, 1).await;
     let server = system.server("l-1", "look", "east").await;
     let other = system.server("l-2", "look", "west").await;
-    system.wait_warm(0, 2).await;
+    system.wait_until_warm(0, 2).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Truncate);
     other.change(|behaviour| behaviour.padding_bytes = 100_000);
     for _ in 0..60 {
@@ -380,7 +380,7 @@
 async fn a_request_whose_caller_goes_away_is_cancelled_at_the_server() {
     let system = System::start(PROGRAM, 1, 1).await;
     let server = system.server("l-1", "look", "east").await;
-    system.wait_warm(0, 1).await;
+    system.wait_until_warm(0, 1).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Hang);
     let (client, address) = (system.client.clone(), system.caller(0));
     let request = HttpRequest::get("/v1/call/look/x");
@@ -394,7 +394,7 @@
 async fn deadlines_shorten_on_the_way_and_late_answers_are_not_waited_for() {
     let system = System::start(PROGRAM, 1, 1).await;
     let server = system.server("l-1", "look", "east").await;
-    system.wait_warm(0, 1).await;
+    system.wait_until_warm(0, 1).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Hang);
     let request =
         HttpRequest::get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "300");
@@ -411,7 +411,7 @@
     let _servers =
         [system.server("l-1", "look", "east").await, system.server("l-2", "look", "west").await];
     for index in 0..3 {
-        system.wait_warm(index, 2).await;
+        system.wait_until_warm(index, 2).await;
     }
     let logs = || (0..3).map(|index| system.group.log(index)).collect::<Vec<_>>();
     let before = logs();
@@ -428,7 +428,7 @@
     for number in 0..4 {
         servers.push(system.server(&format!("l-{number}"), "look", "east").await);
     }
-    system.wait_warm(0, 4).await;
+    system.wait_until_warm(0, 4).await;
     // Answers by which the entry knows the common latency, and by which its budgets fill.
     for _ in 0..300 {
         let _ = system.send_lookup(0).await;
--- a/crates/testkit/examples/bench_calls.rs
+++ b/crates/testkit/examples/bench_calls.rs
@@ -48,7 +48,7 @@
         servers.push(system.server_with(&name, "look", domain, behaviour.clone()).await);
     }
     for index in 0..system.group.processes.len() {
-        system.wait_warm(index, count).await;
+        system.wait_until_warm(index, count).await;
     }
     servers
 }
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -221,7 +221,7 @@
 
     /// Sends requests for service `look` to an entry until its status page shows at least `count`
     /// warm servers.
-    pub async fn wait_warm(&self, index: usize, count: usize) {
+    pub async fn wait_until_warm(&self, index: usize, count: usize) {
         wait_until("the servers are warm", || async {
             let _ = self.send_lookup(index).await;
             let page = self.status(index).await.and_then(|page| page.entry);
