--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -191,10 +191,10 @@
     async fn settle(&self) {
         assert!(self.operator.configure(1, Duration::from_secs(30)).await);
         self.acknowledged.fetch_max(1, Ordering::SeqCst);
-        self.wait_until_served(RECOVERY_BOUND, "at the start").await;
+        self.wait_served(RECOVERY_BOUND, "at the start").await;
     }
 
-    async fn wait_until_served(&self, limit: Duration, when: &str) {
+    async fn wait_served(&self, limit: Duration, when: &str) {
         let caller = SiteCaller { patience: Duration::from_millis(1_500) };
         let started = Instant::now();
         for (number, entry) in self.entries.iter().enumerate() {
@@ -377,7 +377,7 @@
         println!("seed {seed}, {:.1} s: {text}", started.elapsed().as_secs_f64());
         site.verify();
     }
-    site.wait_until_served(RECOVERY_BOUND, "after the faults").await;
+    site.wait_served(RECOVERY_BOUND, "after the faults").await;
     // A server leaves while nothing is wrong: the bound then holds without exception.
     let (server, _) = site.servers[0].clone();
     let acknowledged = server.leave(&site.operator, Duration::from_secs(10)).await;
