--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -1,14 +1,14 @@
 //! Requests that may not be repeated run at most once, and "not run" is true, with real processes.
 
 use std::{collections::BTreeMap, future::Future};
-use testkit::{FakeMode, System, new_key, outcome, pause, runs};
+use testkit::{FakeMode, TestSystem, new_key, outcome, pause, runs};
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornhill");
 
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_and_resent_bookings_run_once() {
-    let system = System::start(PROGRAM, 3, 3).await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
     let first = system.server("b-1", "book", "east").await;
     let second = system.server("b-2", "book", "west").await;
     let servers = [&first, &second];
@@ -55,7 +55,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_is_not_sent_again_when_its_answer_is_lost() {
-    let system = System::start(PROGRAM, 3, 2).await;
+    let system = TestSystem::start(PROGRAM, 3, 2).await;
     let first = system.server("b-1", "book", "east").await;
     let second = system.server("b-2", "book", "west").await;
     let servers = [&first, &second];
@@ -91,7 +91,7 @@
 /// Registries with many keys at all entries, each again elsewhere until it is answered, while `disturb`
 /// runs. Then no key ran twice, and none ran that was only ever answered with "not run".
 async fn book_through_trouble(
-    system: &System,
+    system: &TestSystem,
     servers: &[&testkit::FakeServer],
     count: usize,
     disturb: impl Future<Output = ()>,
@@ -134,7 +134,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_kill_of_a_leader_doubles_nothing() {
-    let mut system = System::start(PROGRAM, 3, 3).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 3).await;
     let first = system.server("b-1", "book", "east").await;
     let second = system.server("b-2", "book", "west").await;
     system.wait_until_served(0, "book").await;
@@ -155,7 +155,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_kill_of_an_entry_doubles_nothing() {
-    let mut system = System::start(PROGRAM, 3, 3).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 3).await;
     let slow = testkit::FakeBehaviour {
         service_time: std::time::Duration::from_millis(600),
         ..testkit::FakeBehaviour::default()
@@ -186,7 +186,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_with_a_wiped_disk_helps_no_second_claim_through() {
-    let mut system = System::start(PROGRAM, 3, 3).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 3).await;
     let server = system.server("b-1", "book", "east").await;
     system.wait_until_served(0, "book").await;
     let key = new_key();
@@ -215,7 +215,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lookup_that_one_server_ran_is_not_called_not_run_because_another_shed_it() {
-    let system = System::start(PROGRAM, 1, 1).await;
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
     let running = system.server("l-1", "look", "east").await;
     let shedding = system.server("l-2", "look", "west").await;
     let mut checked = 0;
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! No entry starts work on a view older than two seconds; accepted changes never revert.
 
 use std::{future::Future, time::Duration};
-use testkit::{System, document, new_key, outcome, pause, wait_until};
+use testkit::{TestSystem, document, new_key, outcome, pause, wait_until};
 use types::{
     ChangeAction, ChangeAnswer, ChangeId, ChangeRequest, DocumentVersion, FRESHNESS_LIMIT,
     RefusalKind, TeamDocument,
@@ -17,7 +17,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_majority_entries_close_and_with_it_they_open() {
-    let mut system = System::start(PROGRAM, 3, 4).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 4).await;
     let server = system.server("l-1", "look", "east").await;
     system.wait_until_served(3, "look").await;
     system.group.kill(0).expect("killed");
@@ -38,7 +38,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_entry_that_wakes_with_requests_in_hand_acts_on_no_old_view() {
-    let system = System::start(PROGRAM, 3, 4).await;
+    let system = TestSystem::start(PROGRAM, 3, 4).await;
     let drained = system.server("l-1", "look", "east").await;
     let other = system.server("l-2", "look", "west").await;
     system.wait_until_warm(3, 2).await;
@@ -67,7 +67,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_leader_neither_stops_the_system_nor_reverts_a_change() {
-    let system = System::start(PROGRAM, 3, 4).await;
+    let system = TestSystem::start(PROGRAM, 3, 4).await;
     let _server = system.server("l-1", "look", "west").await;
     system.wait_until_served(3, "look").await;
     let leader = system.leader().await;
@@ -98,7 +98,7 @@
 }
 
 /// Says whether an entry goes by a view with a drain.
-async fn has_drain(system: &System, index: usize) -> bool {
+async fn has_drain(system: &TestSystem, index: usize) -> bool {
     let endpoint = system.endpoint(index);
     let page = system.operators.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
     page.expect("answers").drains.iter().any(|drain| drain.is_drained)
@@ -110,7 +110,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn accepted_changes_survive_kills_of_the_leader_in_order() {
-    let mut system = System::start(PROGRAM, 3, 3).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 3).await;
     let mut version = 1;
     let mut changes = Vec::new();
     for round in 0..4 {
@@ -155,7 +155,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_operators_with_equal_versions_get_one_winner() {
-    let system = System::start(PROGRAM, 3, 3).await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
     for round in 0..10_u64 {
         let race = (0..3_u32).map(|number| {
             let action = ChangeAction::Document(timed(2_000 + number));
@@ -180,7 +180,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_group_survives_the_loss_of_any_one_disk_twice() {
-    let mut system = System::start(PROGRAM, 3, 3).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 3).await;
     assert!(matches!(system.drain("east", 0).await, ChangeAnswer::Accepted { .. }));
     for lost in [0, 1] {
         let old = system.status(lost).await.and_then(|page| page.replica).expect("replica").id;
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 use testkit::{
-    FakeBehaviour, FakeMode, FakeServer, HttpClient, HttpRequest, System, outcome, pause,
+    FakeBehaviour, FakeMode, FakeServer, HttpClient, HttpRequest, TestSystem, outcome, pause,
     wait_until,
 };
 use types::{ChangeAnswer, ServerState};
@@ -23,7 +23,7 @@
 
 /// Sends lookups to all entries in turn until it is stopped. Returns the answers that were neither
 /// whole nor a true refusal.
-async fn look_steadily(system: &System, stop: &AtomicBool) -> Vec<String> {
+async fn look_steadily(system: &TestSystem, stop: &AtomicBool) -> Vec<String> {
     let mut bad = Vec::new();
     let mut number = 0;
     while !stop.load(Ordering::SeqCst) {
@@ -42,7 +42,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_domain_gets_no_new_work_and_returns() {
-    let system = System::start(PROGRAM, 3, 3).await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
     let east = system.server("l-1", "look", "east").await;
     let west = system.server("l-2", "look", "west").await;
     for index in 0..3 {
@@ -67,7 +67,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_server_gets_no_new_work() {
-    let system = System::start(PROGRAM, 3, 3).await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
     let leaving = system.server("l-1", "look", "east").await;
     let staying = system.server("l-2", "look", "west").await;
     for index in 0..3 {
@@ -96,7 +96,7 @@
     }
 }
 
-async fn press(system: &System, until: impl Fn() -> bool) {
+async fn press(system: &TestSystem, until: impl Fn() -> bool) {
     let started = Instant::now();
     while !until() {
         assert!(started.elapsed() < Duration::from_secs(40), "the servers never became warm");
@@ -115,7 +115,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_servers_are_not_pressed_by_all_entries_together() {
-    let system = System::start(PROGRAM, 3, 3).await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
     // Eight good answers widen the ramp, so a server that needs eight is warm by then.
     let servers = [
         system.server_with("l-1", "look", "east", cold(8)).await,
@@ -144,7 +144,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_servers_of_a_killed_owner_are_served_again() {
-    let mut system = System::start(PROGRAM, 3, 4).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 4).await;
     let mut servers = Vec::new();
     for number in 0..6 {
         servers.push(system.server(&format!("l-{number}"), "look", "west").await);
@@ -177,7 +177,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn probes_stay_within_the_budget_while_owners_change() {
-    let mut system = System::start(PROGRAM, 3, 4).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 4).await;
     let mut probed = testkit::document(5_000);
     probed.services[0].probes_per_minute = PROBES_PER_MINUTE as u16;
     let answer = system.change(1, types::ChangeAction::Document(probed)).await;
@@ -254,7 +254,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rolling_restart_cuts_off_and_loses_no_request() {
-    let mut system = System::start(PROGRAM, 3, 3).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 3).await;
     let slow = FakeBehaviour {
         service_time: Duration::from_millis(30),
         slots: 30,
@@ -305,7 +305,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_whole_and_belong_to_their_requests() {
-    let system = System::start(PROGRAM, 1, 1).await;
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
     let server = system.server("l-1", "look", "east").await;
     let other = system.server("l-2", "look", "west").await;
     system.wait_until_warm(0, 2).await;
@@ -324,7 +324,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input_of_callers_and_servers_is_refused_with_the_field() {
-    let system = System::start(PROGRAM, 1, 1).await;
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
     let _server = system.server("l-1", "look", "east").await;
     system.wait_until_served(0, "look").await;
     let (caller, server) = (system.caller(0), system.group.processes[0].server);
@@ -378,7 +378,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_caller_goes_away_is_cancelled_at_the_server() {
-    let system = System::start(PROGRAM, 1, 1).await;
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
     let server = system.server("l-1", "look", "east").await;
     system.wait_until_warm(0, 1).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Hang);
@@ -392,7 +392,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn deadlines_shorten_on_the_way_and_late_answers_are_not_waited_for() {
-    let system = System::start(PROGRAM, 1, 1).await;
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
     let server = system.server("l-1", "look", "east").await;
     system.wait_until_warm(0, 1).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Hang);
@@ -407,7 +407,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_busy_steady_system_logs_nothing() {
-    let system = System::start(PROGRAM, 3, 3).await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
     let _servers =
         [system.server("l-1", "look", "east").await, system.server("l-2", "look", "west").await];
     for index in 0..3 {
@@ -423,7 +423,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn lookups_are_answered_while_a_server_hangs_breaks_or_fails_fast() {
-    let system = System::start(PROGRAM, 1, 1).await;
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
     let mut servers = Vec::new();
     for number in 0..4 {
         servers.push(system.server(&format!("l-{number}"), "look", "east").await);
--- a/crates/testkit/examples/bench_calls.rs
+++ b/crates/testkit/examples/bench_calls.rs
@@ -4,7 +4,7 @@
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_calls`
 
 use hawthornhill_testkit::{
-    FakeBehaviour, FakeServer, HttpClient, LoadPlan, System, pause, run_load,
+    FakeBehaviour, FakeServer, HttpClient, LoadPlan, TestSystem, pause, run_load,
 };
 use std::{net::SocketAddr, time::Duration};
 use types::ChangeAction;
@@ -28,7 +28,7 @@
 }
 
 /// Returns the CPU time that a process has used, in seconds.
-fn cpu_seconds(system: &System, index: usize) -> f64 {
+fn cpu_seconds(system: &TestSystem, index: usize) -> f64 {
     let pid = system.group.pid(index).expect("runs");
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("linux");
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
@@ -37,7 +37,7 @@
 }
 
 async fn start_servers(
-    system: &System,
+    system: &TestSystem,
     count: usize,
     behaviour: &FakeBehaviour,
 ) -> Vec<FakeServer> {
@@ -54,7 +54,7 @@
 }
 
 async fn measure_added_latency() {
-    let system = System::start(PROGRAM, 3, 3).await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
     let service_time = Duration::ZERO;
     let behaviour = FakeBehaviour { slots: 16, service_time, ..FakeBehaviour::default() };
     let servers = start_servers(&system, 4, &behaviour).await;
@@ -95,7 +95,7 @@
     println!(
         "overload: 8 servers with 2 slots, 4 ms per request (capacity 4000/s), open-loop callers"
     );
-    let system = System::start(PROGRAM, 3, 3).await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
     let behaviour = FakeBehaviour {
         slots: 2,
         service_time: Duration::from_millis(4),
@@ -122,7 +122,7 @@
     println!(
         "failure domain drain, Plinoterm: 11 servers with 2 slots, drained at 5 s, undrained at 15 s"
     );
-    let system = System::start(PROGRAM, 3, 4).await;
+    let system = TestSystem::start(PROGRAM, 3, 4).await;
     let behaviour = FakeBehaviour {
         slots: 2,
         service_time: Duration::from_millis(4),
--- a/crates/testkit/examples/bench_capacity.rs
+++ b/crates/testkit/examples/bench_capacity.rs
@@ -3,7 +3,7 @@
 //!
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_capacity`
 
-use hawthornhill_testkit::{HttpClient, HttpRequest, System, pause};
+use hawthornhill_testkit::{HttpClient, HttpRequest, TestSystem, pause};
 use std::time::{Duration, Instant};
 use types::{ChangeAction, ServiceSpec, TeamDocument};
 
@@ -17,7 +17,7 @@
 const RENEWAL_PERIOD: Duration = Duration::from_secs(3);
 
 /// Returns a numeric field of a file in the `/proc` folder of a process, or 0 if it is absent.
-fn proc_field(system: &System, index: usize, file: &str, field: &str) -> u64 {
+fn proc_field(system: &TestSystem, index: usize, file: &str, field: &str) -> u64 {
     let pid = system.group.pid(index).expect("runs");
     let text = std::fs::read_to_string(format!("/proc/{pid}/{file}")).expect("linux");
     let line = text.lines().find(|line| line.starts_with(field)).unwrap_or_default();
@@ -25,12 +25,12 @@
 }
 
 /// Returns the resident memory of a process, in MiB.
-fn resident_mb(system: &System, index: usize) -> f64 {
+fn resident_mb(system: &TestSystem, index: usize) -> f64 {
     proc_field(system, index, "status", "VmRSS:") as f64 / 1024.0
 }
 
 /// Returns the CPU time that the running threads of a process have used, in seconds.
-fn cpu_seconds(system: &System, index: usize) -> f64 {
+fn cpu_seconds(system: &TestSystem, index: usize) -> f64 {
     let pid = system.group.pid(index).expect("runs");
     let threads = std::fs::read_dir(format!("/proc/{pid}/task")).expect("linux");
     let thread_ns = |path: std::path::PathBuf| -> f64 {
@@ -41,7 +41,7 @@
 }
 
 /// Returns the bytes that a process has sent to and received from other processes.
-async fn link_bytes(system: &System, index: usize) -> (u64, u64) {
+async fn link_bytes(system: &TestSystem, index: usize) -> (u64, u64) {
     let page = system.status(index).await.expect("answers");
     (page.sent_bytes, page.received_bytes)
 }
@@ -61,7 +61,7 @@
         "RSS MB"
     );
     for entries in [4, 8, 16, 24] {
-        let system = System::start(PROGRAM, 3, entries).await;
+        let system = TestSystem::start(PROGRAM, 3, entries).await;
         pause(4_000).await;
         let leader = system.leader().await;
         let follower = (leader + 1) % 3;
@@ -92,7 +92,7 @@
 }
 
 /// Announces all servers once, with 16 concurrent senders.
-async fn announce_all(system: &System, servers: usize, client: &HttpClient, sequence: u64) {
+async fn announce_all(system: &TestSystem, servers: usize, client: &HttpClient, sequence: u64) {
     let mut tasks = tokio::task::JoinSet::new();
     for worker in 0..16 {
         let client = client.clone();
@@ -125,7 +125,7 @@
         "{:>8} {:>10} {:>12} {:>12} {:>14} {:>12}",
         "servers", "documents", "RSS MB", "RSS leader", "CPU% entry", "announce/s"
     );
-    let system = System::start(PROGRAM, 3, 6).await;
+    let system = TestSystem::start(PROGRAM, 3, 6).await;
     let client = HttpClient::default();
     measure_idle(&system, 0, 1, 0.0).await;
     let mut tasks = tokio::task::JoinSet::new();
@@ -170,7 +170,7 @@
     }
 }
 
-async fn measure_renewals(system: &System, servers: usize, rate: f64, client: &HttpClient) {
+async fn measure_renewals(system: &TestSystem, servers: usize, rate: f64, client: &HttpClient) {
     let started = Instant::now();
     let before = cpu_seconds(system, MEASURED_ENTRY);
     for sequence in 10..13 {
@@ -185,14 +185,14 @@
     print_row(system, known, 1_201, cpu, rate).await;
 }
 
-async fn measure_idle(system: &System, servers: usize, documents: usize, rate: f64) {
+async fn measure_idle(system: &TestSystem, servers: usize, documents: usize, rate: f64) {
     let before = cpu_seconds(system, MEASURED_ENTRY);
     pause(5_000).await;
     let cpu = (cpu_seconds(system, MEASURED_ENTRY) - before) / 5.0 * 100.0;
     print_row(system, servers, documents, cpu, rate).await;
 }
 
-async fn print_row(system: &System, servers: usize, documents: usize, cpu: f64, rate: f64) {
+async fn print_row(system: &TestSystem, servers: usize, documents: usize, cpu: f64, rate: f64) {
     let leader = system.leader().await;
     println!(
         "{servers:>8} {documents:>10} {:>12.1} {:>12.1} {cpu:>14.2} {rate:>12.0}",
--- a/crates/testkit/examples/bench_replicas.rs
+++ b/crates/testkit/examples/bench_replicas.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use consensus::{CoreSettings, Member, MemberRole, ReplicaId};
-use hawthornhill_testkit::{MemoryNet, System, latency_histogram, pause};
+use hawthornhill_testkit::{MemoryNet, TestSystem, latency_histogram, pause};
 use peer::{PeerAnswer, PeerHandler, PeerRequest, SubmitAnswer};
 use replica::{FileStore, LEADER_WAIT, ReplicaHandle, ReplicaSettings, start_replica};
 use runtime::{EventTimeline, MetricsRegistry, TimerService};
@@ -176,7 +176,7 @@
 }
 
 /// Submits a change and returns the time until the views of all entries contain it.
-async fn time_until_in_force(system: &System, version: u64) -> Duration {
+async fn time_until_in_force(system: &TestSystem, version: u64) -> Duration {
     let started = Instant::now();
     let answer = system.drain("nowhere", version).await;
     assert!(matches!(answer, ChangeAnswer::Accepted { .. }), "{answer:?}");
@@ -199,7 +199,7 @@
     println!(
         "time from submitting a change until it is in force at all 5 entries, ms (target: at most 2500)"
     );
-    let mut system = System::start(PROGRAM, 3, 5).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 5).await;
     let mut no_fault_ms = Vec::new();
     for version in 0..40 {
         no_fault_ms.push(time_until_in_force(&system, version).await.as_millis());
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -23,7 +23,7 @@
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A running system. Its processes are killed and its files deleted on drop.
-pub struct System {
+pub struct TestSystem {
     /// Processes of the system.
     pub group: ProcessGroup,
     /// Client for callers' requests.
@@ -65,7 +65,7 @@
     }
 }
 
-impl System {
+impl TestSystem {
     /// Starts the processes, bootstraps the replica group and applies [`document`].
     ///
     /// The first processes have both the entry and the replica role.
