--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! No entry starts work on a view older than two seconds; accepted changes never revert.
 
 use std::{future::Future, time::Duration};
-use testkit::{TestSystem, document, new_key, outcome, pause, wait_until};
+use testkit::{TestSystem, new_key, outcome, pause, test_document, wait_until};
 use types::{
     ChangeAction, ChangeAnswer, ChangeId, ChangeRequest, DocumentVersion, FRESHNESS_LIMIT,
     RefusalKind, TeamDocument,
@@ -105,7 +105,7 @@
 }
 
 fn timed(timeout_ms: u32) -> TeamDocument {
-    document(timeout_ms)
+    test_document(timeout_ms)
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -178,7 +178,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn probes_stay_within_the_budget_while_owners_change() {
     let mut system = TestSystem::start(PROGRAM, 3, 4).await;
-    let mut probed = testkit::document(5_000);
+    let mut probed = testkit::test_document(5_000);
     probed.services[0].probes_per_minute = PROBES_PER_MINUTE as u16;
     let answer = system.change(1, types::ChangeAction::Document(probed)).await;
     assert!(matches!(answer, ChangeAnswer::Accepted { .. }));
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -53,7 +53,7 @@
 
 /// Returns a document with the services `look` and `book`. POST requests to `book` must not be
 /// repeated.
-pub fn document(timeout_ms: u32) -> TeamDocument {
+pub fn test_document(timeout_ms: u32) -> TeamDocument {
     let spec = |name: &str| ServiceSpec {
         timeout_ms,
         ..ServiceSpec::new(name.parse().expect("valid"), 0)
@@ -66,7 +66,7 @@
 }
 
 impl TestSystem {
-    /// Starts the processes, bootstraps the replica group and applies [`document`].
+    /// Starts the processes, bootstraps the replica group and applies [`test_document`].
     ///
     /// The first processes have both the entry and the replica role.
     pub async fn start(program: &str, replicas: usize, entries: usize) -> Self {
@@ -83,7 +83,7 @@
         let operators = OperatorClient::new(&group.operator_keys()).expect("keys");
         let system = Self { group, client: HttpClient::default(), operators, _folder: folder };
         system.bootstrap(replicas).await;
-        let answer = system.change(0, ChangeAction::Document(document(5_000))).await;
+        let answer = system.change(0, ChangeAction::Document(test_document(5_000))).await;
         assert!(matches!(answer, ChangeAnswer::Accepted { .. }), "{answer:?}");
         system
     }
