--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -1,7 +1,7 @@
 //! Requests that may not be repeated run at most once, and "not run" is true, with real processes.
 
 use std::{collections::BTreeMap, future::Future};
-use testkit::{FakeMode, TestSystem, new_key, outcome, pause, runs};
+use testkit::{FakeMode, TestSystem, execution_count, new_key, outcome, pause};
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornhill");
@@ -26,7 +26,7 @@
         );
         let answers: Vec<_> =
             [a, b, c].into_iter().map(|answer| answer.expect("answers")).collect();
-        assert_eq!(runs(&servers, &key), 1);
+        assert_eq!(execution_count(&servers, &key), 1);
         assert_eq!(answers.iter().filter(|answer| answer.status == 200).count(), 1);
         assert!(answers.iter().all(|answer| outcome(answer) != "not-run"), "it ran");
     }
@@ -41,7 +41,7 @@
     // The same key with another body.
     let other = system.send_booking(2, &key, "y").await.expect("answers");
     assert_eq!((other.status, outcome(&other)), (422, "unknown"));
-    assert_eq!(runs(&servers, &key), 1);
+    assert_eq!(execution_count(&servers, &key), 1);
 
     // A key that is too old, and one that is no UUIDv7.
     let old = uuid::Builder::from_unix_timestamp_millis(1_000, &[7; 10]).into_uuid().to_string();
@@ -50,7 +50,7 @@
     let bad = uuid::Uuid::from_u128(5).to_string();
     let answer = system.send_booking(0, &bad, "x").await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (400, "not-run"));
-    assert_eq!(runs(&servers, &old) + runs(&servers, &bad), 0);
+    assert_eq!(execution_count(&servers, &old) + execution_count(&servers, &bad), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -75,15 +75,15 @@
         let key = new_key();
         let answer = system.send_booking(0, &key, "x").await.expect("answers");
         assert_eq!((answer.status, outcome(&answer)), (status, expected), "{mode:?}");
-        assert_eq!(runs(&servers, &key), count, "{mode:?}");
+        assert_eq!(execution_count(&servers, &key), count, "{mode:?}");
         servers.iter().for_each(|server| server.change(|b| b.mode = FakeMode::Normal));
         system.wait_until_served(0, "book").await;
         let again = system.send_booking(0, &key, "x").await.expect("answers");
         if expected == "not-run" {
-            assert_eq!((again.status, runs(&servers, &key)), (200, 1), "{mode:?}");
+            assert_eq!((again.status, execution_count(&servers, &key)), (200, 1), "{mode:?}");
         } else {
             assert_eq!(outcome(&again), "unknown", "{mode:?}");
-            assert_eq!(runs(&servers, &key), count, "{mode:?}");
+            assert_eq!(execution_count(&servers, &key), count, "{mode:?}");
         }
     }
 }
@@ -120,7 +120,7 @@
     pause(500).await;
     let mut ran = 0;
     for (key, said) in &answers {
-        let count = runs(servers, key);
+        let count = execution_count(servers, key);
         assert!(count <= 1, "{key} ran {count} times: {said:?}");
         if said.iter().all(|outcome| outcome == "not-run") {
             assert_eq!(count, 0, "{key} ran, but was answered {said:?}");
@@ -176,7 +176,7 @@
         assert!(sent.await.expect("joined").is_err(), "the entry was killed first");
         let again = system.send_booking(1, &key, "x").await.expect("answers");
         pause(800).await;
-        let count = runs(&servers, &key);
+        let count = execution_count(&servers, &key);
         assert!(count <= 1, "{count} runs after {delay_ms} ms");
         assert!(!(outcome(&again) == "not-run" && count > 0), "after {delay_ms} ms");
         system.group.spawn(0).expect("starts");
@@ -204,13 +204,13 @@
         assert_ne!(outcome(&answer), "not-run", "it ran");
         pause(300).await;
     }
-    assert_eq!(runs(&[&server], &key), 1);
+    assert_eq!(execution_count(&[&server], &key), 1);
     // With the disk that remembers back, the system serves and still knows the claim.
     system.group.spawn(leader).expect("starts");
     system.wait_until_served(other, "book").await;
     let answer = system.send_booking(other, &key, "x").await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (409, "ran"));
-    assert_eq!(runs(&[&server], &key), 1);
+    assert_eq!(execution_count(&[&server], &key), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -231,7 +231,7 @@
             let request = testkit::HttpRequest::get("/v1/call/look/x")
                 .with_header(types::header::IDEMPOTENCY_KEY, &key);
             let answer = system.client.send(system.caller(0), request).await.expect("answers");
-            let count = runs(&[&running], &key);
+            let count = execution_count(&[&running], &key);
             checked += count;
             assert!(!(outcome(&answer) == "not-run" && count > 0), "it ran");
         }
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -245,7 +245,7 @@
 }
 
 /// Returns how often requests with a key have run, over all given servers.
-pub fn runs(servers: &[&FakeServer], key: &str) -> u32 {
+pub fn execution_count(servers: &[&FakeServer], key: &str) -> u32 {
     servers
         .iter()
         .map(|server| server.stats().executions_by_key.get(key).copied().unwrap_or(0))
