--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -10,7 +10,7 @@
 use tempfile::TempDir;
 use testkit::{
     FakeBehaviour, FakeMode, FakeServer, FakeServerSettings, HttpClient, HttpRequest,
-    free_addresses, new_key, pause, wait_until,
+    free_addresses, new_key, sleep_ms, wait_until,
 };
 use types::header;
 
@@ -269,7 +269,7 @@
             retried = Some(id);
             break;
         }
-        pause(20).await;
+        sleep_ms(20).await;
     }
     assert!(second.stats().received > 0);
     let id = retried.expect("the broken server was tried");
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -1,7 +1,7 @@
 //! Requests that may not be repeated run at most once, and "not run" is true, with real processes.
 
 use std::{collections::BTreeMap, future::Future};
-use testkit::{FakeMode, TestSystem, execution_count, new_key, outcome, pause};
+use testkit::{FakeMode, TestSystem, execution_count, new_key, outcome, sleep_ms};
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornhill");
@@ -34,7 +34,7 @@
     // The answer is lost and the request resent elsewhere.
     let key = new_key();
     assert_eq!(system.send_booking(0, &key, "x").await.expect("answers").status, 200);
-    pause(300).await;
+    sleep_ms(300).await;
     let again = system.send_booking(1, &key, "x").await.expect("answers");
     assert_eq!((again.status, outcome(&again)), (409, "ran"));
 
@@ -111,13 +111,13 @@
                 // Callers come back when they are told to.
                 let told =
                     answer.map(|answer| answer.header("hawthornhill-retry-after-ms").parse());
-                pause(told.and_then(Result::ok).unwrap_or(100)).await;
+                sleep_ms(told.and_then(Result::ok).unwrap_or(100)).await;
             }
         }
         answers
     };
     let (answers, ()) = tokio::join!(registry, disturb);
-    pause(500).await;
+    sleep_ms(500).await;
     let mut ran = 0;
     for (key, said) in &answers {
         let count = execution_count(servers, key);
@@ -147,7 +147,7 @@
     system.group.signal(next, "STOP").expect("frozen");
     let group = &system.group;
     book_through_trouble(&system, &[&first, &second], 60, async {
-        pause(4_000).await;
+        sleep_ms(4_000).await;
         group.signal(next, "CONT").expect("thawed");
     })
     .await;
@@ -171,11 +171,11 @@
         let request = testkit::HttpRequest::post("/v1/call/book/x", b"x".to_vec())
             .with_header(types::header::IDEMPOTENCY_KEY, &key);
         let sent = tokio::spawn(async move { client.send(address, request).await });
-        pause(delay_ms).await;
+        sleep_ms(delay_ms).await;
         system.group.kill(0).expect("killed");
         assert!(sent.await.expect("joined").is_err(), "the entry was killed first");
         let again = system.send_booking(1, &key, "x").await.expect("answers");
-        pause(800).await;
+        sleep_ms(800).await;
         let count = execution_count(&servers, &key);
         assert!(count <= 1, "{count} runs after {delay_ms} ms");
         assert!(!(outcome(&again) == "not-run" && count > 0), "after {delay_ms} ms");
@@ -202,7 +202,7 @@
         let answer = system.send_booking(other, &key, "x").await.expect("answers");
         assert_ne!(answer.status, 200);
         assert_ne!(outcome(&answer), "not-run", "it ran");
-        pause(300).await;
+        sleep_ms(300).await;
     }
     assert_eq!(execution_count(&[&server], &key), 1);
     // With the disk that remembers back, the system serves and still knows the claim.
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! No entry starts work on a view older than two seconds; accepted changes never revert.
 
 use std::{future::Future, time::Duration};
-use testkit::{TestSystem, new_key, outcome, pause, test_document, wait_until};
+use testkit::{TestSystem, new_key, outcome, sleep_ms, test_document, wait_until};
 use types::{
     ChangeAction, ChangeAnswer, ChangeId, ChangeRequest, DocumentVersion, FRESHNESS_LIMIT,
     RefusalKind, TeamDocument,
@@ -22,7 +22,7 @@
     system.wait_until_served(3, "look").await;
     system.group.kill(0).expect("killed");
     system.group.kill(1).expect("killed");
-    pause(limit_ms() + 100).await;
+    sleep_ms(limit_ms() + 100).await;
     let before = server.stats().received;
     for _ in 0..20 {
         let answer = system.send_lookup(3).await.expect("answers");
@@ -53,7 +53,7 @@
     }
     let answer = system.drain("east", 0).await;
     assert!(matches!(answer, ChangeAnswer::Accepted { .. }));
-    pause(limit_ms()).await;
+    sleep_ms(limit_ms()).await;
     let before = drained.stats().received;
     system.group.signal(3, "CONT").expect("thawed");
     while waiting.join_next().await.is_some() {}
@@ -77,12 +77,12 @@
     assert_eq!(answer, ChangeAnswer::Accepted { version: DocumentVersion(1) });
     system.wait_until_served(3, "look").await;
     // In force two seconds after it was accepted, and from then on.
-    pause(limit_ms()).await;
+    sleep_ms(limit_ms()).await;
     assert!(has_drain(&system, 3).await, "the change is not in force");
     system.group.signal(leader, "CONT").expect("thawed");
     for _ in 0..20 {
         assert!(has_drain(&system, 3).await, "the change reverted");
-        pause(100).await;
+        sleep_ms(100).await;
     }
     // The old leader follows, and knows the change.
     wait_until("the old leader has the change", || async {
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 use testkit::{
-    FakeBehaviour, FakeMode, FakeServer, HttpClient, HttpRequest, TestSystem, outcome, pause,
+    FakeBehaviour, FakeMode, FakeServer, HttpClient, HttpRequest, TestSystem, outcome, sleep_ms,
     wait_until,
 };
 use types::{ChangeAnswer, ServerState};
@@ -35,7 +35,7 @@
             Some(answer) => bad.push(format!("{} {}", answer.status, answer.text())),
             None => bad.push("broken".to_owned()),
         }
-        pause(2).await;
+        sleep_ms(2).await;
     }
     bad
 }
@@ -51,9 +51,9 @@
     let stop = AtomicBool::new(false);
     let drill = async {
         assert!(matches!(system.drain("east", 0).await, ChangeAnswer::Accepted { .. }));
-        pause(STOP_BOUND_MS).await;
+        sleep_ms(STOP_BOUND_MS).await;
         let (before, other) = (east.stats().received, west.stats().received);
-        pause(1_500).await;
+        sleep_ms(1_500).await;
         assert_eq!(east.stats().received, before, "new work after the bound");
         assert!(west.stats().received > other, "the other domain serves");
         let back = types::ChangeAction::Undrain("east".parse().expect("valid"));
@@ -76,9 +76,9 @@
     let stop = AtomicBool::new(false);
     let drill = async {
         leaving.set_state(ServerState::Leaving).await;
-        pause(STOP_BOUND_MS).await;
+        sleep_ms(STOP_BOUND_MS).await;
         let before = leaving.stats().received;
-        pause(1_500).await;
+        sleep_ms(1_500).await;
         assert_eq!(leaving.stats().received, before, "new work after the bound");
         stop.store(true, Ordering::SeqCst);
     };
@@ -133,7 +133,7 @@
     for server in &servers {
         server.set_state(ServerState::Ready).await;
     }
-    pause(STOP_BOUND_MS).await;
+    sleep_ms(STOP_BOUND_MS).await;
     let before: u64 = servers.iter().map(|server| server.stats().cold_overloads).sum();
     assert_eq!(before, 0);
     press(&system, || all_warm(&servers)).await;
@@ -203,7 +203,7 @@
             _ => step -= 1,
         }
         step += 1;
-        pause(50).await;
+        sleep_ms(50).await;
     }
     let allowed = PROBES_PER_MINUTE * PROBE_WINDOW.as_secs() / 60 + 1;
     for (server, counts) in servers.iter().zip(&counts) {
@@ -246,7 +246,7 @@
                     return first.address;
                 }
             }
-            pause(20).await;
+            sleep_ms(20).await;
         }
         panic!("no entry directories");
     }
@@ -286,7 +286,7 @@
         });
     }
     for index in 0..3 {
-        pause(500).await;
+        sleep_ms(500).await;
         system.group.signal(index, "TERM").expect("asked to stop");
         assert!(system.group.wait(index).expect("ends"), "host {index} stopped uncleanly");
         system.group.spawn(index).expect("starts");
--- a/crates/testkit/examples/bench_calls.rs
+++ b/crates/testkit/examples/bench_calls.rs
@@ -4,7 +4,7 @@
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_calls`
 
 use hawthornhill_testkit::{
-    FakeBehaviour, FakeServer, HttpClient, LoadPlan, TestSystem, pause, run_load,
+    FakeBehaviour, FakeServer, HttpClient, LoadPlan, TestSystem, run_load, sleep_ms,
 };
 use std::{net::SocketAddr, time::Duration};
 use types::ChangeAction;
@@ -80,7 +80,7 @@
     }
     println!("CPU time of the processes");
     let idle: f64 = (0..3).map(|index| cpu_seconds(&system, index)).sum();
-    pause(5_000).await;
+    sleep_ms(5_000).await;
     let idle = (0..3).map(|index| cpu_seconds(&system, index)).sum::<f64>() - idle;
     println!("idle, entry and replica in one process: {:.2}% of a core", idle / 15.0 * 100.0);
     let before: f64 = (0..3).map(|index| cpu_seconds(&system, index)).sum();
--- a/crates/testkit/examples/bench_capacity.rs
+++ b/crates/testkit/examples/bench_capacity.rs
@@ -3,7 +3,7 @@
 //!
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_capacity`
 
-use hawthornhill_testkit::{HttpClient, HttpRequest, TestSystem, pause};
+use hawthornhill_testkit::{HttpClient, HttpRequest, TestSystem, sleep_ms};
 use std::time::{Duration, Instant};
 use types::{ChangeAction, ServiceSpec, TeamDocument};
 
@@ -62,7 +62,7 @@
     );
     for entries in [4, 8, 16, 24] {
         let system = TestSystem::start(PROGRAM, 3, entries).await;
-        pause(4_000).await;
+        sleep_ms(4_000).await;
         let leader = system.leader().await;
         let follower = (leader + 1) % 3;
         let measured = [leader, follower, entries - 1];
@@ -70,7 +70,7 @@
         for index in measured {
             before.push((link_bytes(&system, index).await, cpu_seconds(&system, index)));
         }
-        pause(IDLE_S * 1_000).await;
+        sleep_ms(IDLE_S * 1_000).await;
         let mut rates = Vec::new();
         for (index, ((sent, received), cpu)) in measured.into_iter().zip(before) {
             let spent = cpu_seconds(&system, index) - cpu;
@@ -153,7 +153,7 @@
         }
     }
     while tasks.join_next().await.is_some() {}
-    pause(2_000).await;
+    sleep_ms(2_000).await;
     measure_idle(&system, 0, 1_201, 0.0).await;
     for servers in [5_000, 15_000] {
         let started = Instant::now();
@@ -187,7 +187,7 @@
 
 async fn measure_idle(system: &TestSystem, servers: usize, documents: usize, rate: f64) {
     let before = cpu_seconds(system, MEASURED_ENTRY);
-    pause(5_000).await;
+    sleep_ms(5_000).await;
     let cpu = (cpu_seconds(system, MEASURED_ENTRY) - before) / 5.0 * 100.0;
     print_row(system, servers, documents, cpu, rate).await;
 }
--- a/crates/testkit/examples/bench_replicas.rs
+++ b/crates/testkit/examples/bench_replicas.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use consensus::{CoreSettings, Member, MemberRole, ReplicaId};
-use hawthornhill_testkit::{MemoryNet, TestSystem, latency_histogram, pause};
+use hawthornhill_testkit::{MemoryNet, TestSystem, latency_histogram, sleep_ms};
 use peer::{PeerAnswer, PeerHandler, PeerRequest, SubmitAnswer};
 use replica::{FileStore, LEADER_WAIT, ReplicaHandle, ReplicaSettings, start_replica};
 use runtime::{EventTimeline, MetricsRegistry, TimerService};
@@ -62,7 +62,7 @@
                 return handle.clone();
             }
         }
-        pause(10).await;
+        sleep_ms(10).await;
     }
 }
 
@@ -159,7 +159,7 @@
         handle.stop().await;
         drop(handle);
         drop(net);
-        pause(300).await;
+        sleep_ms(300).await;
         let started = Instant::now();
         let opened = FileStore::open(folder, ReplicaId(1)).expect("opens");
         let open_ms = started.elapsed().as_secs_f64() * 1e3;
@@ -171,7 +171,7 @@
         let leader_ms = started.elapsed().as_secs_f64() * 1e3;
         println!("{total:>12} {open_ms:>12.1} {leader_ms:>12.0}");
         handle.stop().await;
-        pause(300).await;
+        sleep_ms(300).await;
     }
 }
 
@@ -227,7 +227,7 @@
             }
         }
         leader_killed.push((started.elapsed().as_millis(), accepted.as_millis()));
-        pause(2_000).await;
+        sleep_ms(2_000).await;
     }
     leader_killed.sort_unstable();
     println!(
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -22,5 +22,7 @@
 pub use memory_net::MemoryNet;
 pub use process_group::{GroupSettings, ProcessGroup, free_addresses};
 pub use selectors::{InFlightSelector, RandomSelector};
-pub use system::{TestSystem, execution_count, new_key, outcome, pause, test_document, wait_until};
+pub use system::{
+    TestSystem, execution_count, new_key, outcome, sleep_ms, test_document, wait_until,
+};
 pub use whole_file::write_atomically;
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -47,7 +47,7 @@
 }
 
 /// Sleeps for some milliseconds.
-pub async fn pause(ms: u64) {
+pub async fn sleep_ms(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
@@ -131,7 +131,7 @@
                     return index;
                 }
             }
-            pause(50).await;
+            sleep_ms(50).await;
         }
         panic!("no leader");
     }
@@ -146,7 +146,7 @@
                     return answer;
                 }
             }
-            pause(100).await;
+            sleep_ms(100).await;
         }
         panic!("the change was not decided");
     }
