--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -124,7 +124,7 @@
             if step == 3 {
                 system.group.kill(leader).expect("killed");
             }
-            let answer = system.decide(&change).await;
+            let answer = system.submit_change(&change).await;
             version += 1;
             assert_eq!(answer, ChangeAnswer::Accepted { version: DocumentVersion(version) });
             changes.push((change, answer));
@@ -133,7 +133,7 @@
     }
     // Every change, resent after all that, gets its first answer again and changes nothing.
     for (change, answer) in &changes {
-        assert_eq!(&system.decide(change).await, answer);
+        assert_eq!(&system.submit_change(change).await, answer);
     }
     wait_until("all entries have the last document", || async {
         let mut is_current = true;
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -138,7 +138,7 @@
 
     /// Submits a change to the processes in turn until one answers. The id stays the same, so the
     /// change is decided once. Panics after 20 rounds.
-    pub async fn decide(&self, change: &ChangeRequest) -> ChangeAnswer {
+    pub async fn submit_change(&self, change: &ChangeRequest) -> ChangeAnswer {
         for _ in 0..20 {
             for index in 0..self.group.processes.len() {
                 let endpoint = self.endpoint(index);
@@ -155,7 +155,7 @@
     pub async fn change(&self, expected: u64, action: ChangeAction) -> ChangeAnswer {
         let id = ChangeId(Uuid::now_v7());
         let expected_version = DocumentVersion(expected);
-        self.decide(&ChangeRequest { id, expected_version, action }).await
+        self.submit_change(&ChangeRequest { id, expected_version, action }).await
     }
 
     /// Drains a failure domain.
