--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -9,8 +9,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_and_resent_bookings_run_once() {
     let system = TestSystem::start(PROGRAM, 3, 3).await;
-    let first = system.server("b-1", "book", "east").await;
-    let second = system.server("b-2", "book", "west").await;
+    let first = system.start_server("b-1", "book", "east").await;
+    let second = system.start_server("b-2", "book", "west").await;
     let servers = [&first, &second];
     for index in 0..3 {
         system.wait_until_served(index, "book").await;
@@ -56,8 +56,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_is_not_sent_again_when_its_answer_is_lost() {
     let system = TestSystem::start(PROGRAM, 3, 2).await;
-    let first = system.server("b-1", "book", "east").await;
-    let second = system.server("b-2", "book", "west").await;
+    let first = system.start_server("b-1", "book", "east").await;
+    let second = system.start_server("b-2", "book", "west").await;
     let servers = [&first, &second];
     system.wait_until_served(0, "book").await;
     let cases = [
@@ -135,8 +135,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_kill_of_a_leader_doubles_nothing() {
     let mut system = TestSystem::start(PROGRAM, 3, 3).await;
-    let first = system.server("b-1", "book", "east").await;
-    let second = system.server("b-2", "book", "west").await;
+    let first = system.start_server("b-1", "book", "east").await;
+    let second = system.start_server("b-2", "book", "west").await;
     system.wait_until_served(0, "book").await;
     let leader = system.leader().await;
     system.group.kill(leader).expect("killed");
@@ -187,7 +187,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_with_a_wiped_disk_helps_no_second_claim_through() {
     let mut system = TestSystem::start(PROGRAM, 3, 3).await;
-    let server = system.server("b-1", "book", "east").await;
+    let server = system.start_server("b-1", "book", "east").await;
     system.wait_until_served(0, "book").await;
     let key = new_key();
     assert_eq!(system.send_booking(0, &key, "x").await.expect("answers").status, 200);
@@ -216,8 +216,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lookup_that_one_server_ran_is_not_called_not_run_because_another_shed_it() {
     let system = TestSystem::start(PROGRAM, 1, 1).await;
-    let running = system.server("l-1", "look", "east").await;
-    let shedding = system.server("l-2", "look", "west").await;
+    let running = system.start_server("l-1", "look", "east").await;
+    let shedding = system.start_server("l-2", "look", "west").await;
     let mut checked = 0;
     for _ in 0..5 {
         for server in [&running, &shedding] {
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -18,7 +18,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_majority_entries_close_and_with_it_they_open() {
     let mut system = TestSystem::start(PROGRAM, 3, 4).await;
-    let server = system.server("l-1", "look", "east").await;
+    let server = system.start_server("l-1", "look", "east").await;
     system.wait_until_served(3, "look").await;
     system.group.kill(0).expect("killed");
     system.group.kill(1).expect("killed");
@@ -39,8 +39,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_entry_that_wakes_with_requests_in_hand_acts_on_no_old_view() {
     let system = TestSystem::start(PROGRAM, 3, 4).await;
-    let drained = system.server("l-1", "look", "east").await;
-    let other = system.server("l-2", "look", "west").await;
+    let drained = system.start_server("l-1", "look", "east").await;
+    let other = system.start_server("l-2", "look", "west").await;
     system.wait_until_warm(3, 2).await;
     system.group.signal(3, "STOP").expect("frozen");
     // These wait in the sockets and queues of the frozen process.
@@ -68,7 +68,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_leader_neither_stops_the_system_nor_reverts_a_change() {
     let system = TestSystem::start(PROGRAM, 3, 4).await;
-    let _server = system.server("l-1", "look", "west").await;
+    let _server = system.start_server("l-1", "look", "west").await;
     system.wait_until_served(3, "look").await;
     let leader = system.leader().await;
     system.group.signal(leader, "STOP").expect("frozen");
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -43,8 +43,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_domain_gets_no_new_work_and_returns() {
     let system = TestSystem::start(PROGRAM, 3, 3).await;
-    let east = system.server("l-1", "look", "east").await;
-    let west = system.server("l-2", "look", "west").await;
+    let east = system.start_server("l-1", "look", "east").await;
+    let west = system.start_server("l-2", "look", "west").await;
     for index in 0..3 {
         system.wait_until_warm(index, 2).await;
     }
@@ -68,8 +68,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_server_gets_no_new_work() {
     let system = TestSystem::start(PROGRAM, 3, 3).await;
-    let leaving = system.server("l-1", "look", "east").await;
-    let staying = system.server("l-2", "look", "west").await;
+    let leaving = system.start_server("l-1", "look", "east").await;
+    let staying = system.start_server("l-2", "look", "west").await;
     for index in 0..3 {
         system.wait_until_warm(index, 2).await;
     }
@@ -147,7 +147,7 @@
     let mut system = TestSystem::start(PROGRAM, 3, 4).await;
     let mut servers = Vec::new();
     for number in 0..6 {
-        servers.push(system.server(&format!("l-{number}"), "look", "west").await);
+        servers.push(system.start_server(&format!("l-{number}"), "look", "west").await);
     }
     system.wait_until_warm(0, 6).await;
     let page = system.status(0).await.and_then(|page| page.entry).expect("entry");
@@ -184,7 +184,7 @@
     assert!(matches!(answer, ChangeAnswer::Accepted { .. }));
     let mut servers = Vec::new();
     for number in 0..6 {
-        servers.push(system.server(&format!("l-{number}"), "look", "west").await);
+        servers.push(system.start_server(&format!("l-{number}"), "look", "west").await);
     }
     system.wait_until_warm(0, 6).await;
     let mut counts: Vec<Vec<(Instant, u64)>> = vec![Vec::new(); servers.len()];
@@ -306,8 +306,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_whole_and_belong_to_their_requests() {
     let system = TestSystem::start(PROGRAM, 1, 1).await;
-    let server = system.server("l-1", "look", "east").await;
-    let other = system.server("l-2", "look", "west").await;
+    let server = system.start_server("l-1", "look", "east").await;
+    let other = system.start_server("l-2", "look", "west").await;
     system.wait_until_warm(0, 2).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Truncate);
     other.change(|behaviour| behaviour.padding_bytes = 100_000);
@@ -325,7 +325,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input_of_callers_and_servers_is_refused_with_the_field() {
     let system = TestSystem::start(PROGRAM, 1, 1).await;
-    let _server = system.server("l-1", "look", "east").await;
+    let _server = system.start_server("l-1", "look", "east").await;
     system.wait_until_served(0, "look").await;
     let (caller, server) = (system.caller(0), system.group.processes[0].server);
     let get = HttpRequest::get;
@@ -379,7 +379,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_caller_goes_away_is_cancelled_at_the_server() {
     let system = TestSystem::start(PROGRAM, 1, 1).await;
-    let server = system.server("l-1", "look", "east").await;
+    let server = system.start_server("l-1", "look", "east").await;
     system.wait_until_warm(0, 1).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Hang);
     let (client, address) = (system.client.clone(), system.caller(0));
@@ -393,7 +393,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn deadlines_shorten_on_the_way_and_late_answers_are_not_waited_for() {
     let system = TestSystem::start(PROGRAM, 1, 1).await;
-    let server = system.server("l-1", "look", "east").await;
+    let server = system.start_server("l-1", "look", "east").await;
     system.wait_until_warm(0, 1).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Hang);
     let request =
@@ -408,8 +408,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_busy_steady_system_logs_nothing() {
     let system = TestSystem::start(PROGRAM, 3, 3).await;
-    let _servers =
-        [system.server("l-1", "look", "east").await, system.server("l-2", "look", "west").await];
+    let _servers = [
+        system.start_server("l-1", "look", "east").await,
+        system.start_server("l-2", "look", "west").await,
+    ];
     for index in 0..3 {
         system.wait_until_warm(index, 2).await;
     }
@@ -426,7 +428,7 @@
     let system = TestSystem::start(PROGRAM, 1, 1).await;
     let mut servers = Vec::new();
     for number in 0..4 {
-        servers.push(system.server(&format!("l-{number}"), "look", "east").await);
+        servers.push(system.start_server(&format!("l-{number}"), "look", "east").await);
     }
     system.wait_until_warm(0, 4).await;
     // Answers by which the entry knows the common latency, and by which its budgets fill.
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -165,7 +165,7 @@
     }
 
     /// Starts a fake server with default behaviour that announces itself to the processes.
-    pub async fn server(&self, name: &str, service: &str, domain: &str) -> FakeServer {
+    pub async fn start_server(&self, name: &str, service: &str, domain: &str) -> FakeServer {
         self.server_with(name, service, domain, FakeBehaviour::default()).await
     }
 
