--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -160,8 +160,8 @@
         service_time: std::time::Duration::from_millis(600),
         ..testkit::FakeBehaviour::default()
     };
-    let first = system.server_with("b-1", "book", "east", slow.clone()).await;
-    let second = system.server_with("b-2", "book", "west", slow).await;
+    let first = system.start_server_with("b-1", "book", "east", slow.clone()).await;
+    let second = system.start_server_with("b-2", "book", "west", slow).await;
     let servers = [&first, &second];
     system.wait_until_served(0, "book").await;
     // The entry is killed at moments before and after the first byte leaves.
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -118,9 +118,9 @@
     let system = TestSystem::start(PROGRAM, 3, 3).await;
     // Eight good answers widen the ramp, so a server that needs eight is warm by then.
     let servers = [
-        system.server_with("l-1", "look", "east", cold(8)).await,
-        system.server_with("l-2", "look", "west", cold(8)).await,
-        system.server_with("l-3", "look", "east", cold(8)).await,
+        system.start_server_with("l-1", "look", "east", cold(8)).await,
+        system.start_server_with("l-2", "look", "west", cold(8)).await,
+        system.start_server_with("l-3", "look", "east", cold(8)).await,
     ];
     let all_warm = |servers: &[FakeServer]| {
         servers.iter().all(|server| server.stats().executions_since_start > 60)
@@ -260,8 +260,8 @@
         slots: 30,
         ..FakeBehaviour::default()
     };
-    let first = system.server_with("l-1", "look", "east", slow.clone()).await;
-    let second = system.server_with("l-2", "look", "west", slow).await;
+    let first = system.start_server_with("l-1", "look", "east", slow.clone()).await;
+    let second = system.start_server_with("l-2", "look", "west", slow).await;
     for index in 0..3 {
         system.wait_until_warm(index, 2).await;
     }
--- a/crates/testkit/examples/bench_calls.rs
+++ b/crates/testkit/examples/bench_calls.rs
@@ -45,7 +45,7 @@
     for number in 0..count {
         let domain = ["east", "west"][number % 2];
         let name = format!("l-{number}");
-        servers.push(system.server_with(&name, "look", domain, behaviour.clone()).await);
+        servers.push(system.start_server_with(&name, "look", domain, behaviour.clone()).await);
     }
     for index in 0..system.group.processes.len() {
         system.wait_until_warm(index, count).await;
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -166,11 +166,11 @@
 
     /// Starts a fake server with default behaviour that announces itself to the processes.
     pub async fn start_server(&self, name: &str, service: &str, domain: &str) -> FakeServer {
-        self.server_with(name, service, domain, FakeBehaviour::default()).await
+        self.start_server_with(name, service, domain, FakeBehaviour::default()).await
     }
 
     /// Starts a fake server with the given behaviour that announces itself to the processes.
-    pub async fn server_with(
+    pub async fn start_server_with(
         &self,
         name: &str,
         service: &str,
