--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -167,7 +167,7 @@
     // The entry is killed at moments before and after the first byte leaves.
     for delay_ms in [0, 2, 5, 10, 100, 400] {
         let key = new_key();
-        let (client, address) = (system.client.clone(), system.caller(0));
+        let (client, address) = (system.client.clone(), system.caller_address(0));
         let request = testkit::HttpRequest::post("/v1/call/book/x", b"x".to_vec())
             .with_header(types::header::IDEMPOTENCY_KEY, &key);
         let sent = tokio::spawn(async move { client.send(address, request).await });
@@ -230,7 +230,8 @@
             let key = new_key();
             let request = testkit::HttpRequest::get("/v1/call/look/x")
                 .with_header(types::header::IDEMPOTENCY_KEY, &key);
-            let answer = system.client.send(system.caller(0), request).await.expect("answers");
+            let answer =
+                system.client.send(system.caller_address(0), request).await.expect("answers");
             let count = execution_count(&[&running], &key);
             checked += count;
             assert!(!(outcome(&answer) == "not-run" && count > 0), "it ran");
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -46,7 +46,7 @@
     // These wait in the sockets and queues of the frozen process.
     let mut waiting = tokio::task::JoinSet::new();
     for _ in 0..40 {
-        let (client, address) = (system.client.clone(), system.caller(3));
+        let (client, address) = (system.client.clone(), system.caller_address(3));
         waiting.spawn(async move {
             client.send(address, testkit::HttpRequest::get("/v1/call/look/x")).await
         });
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -103,7 +103,7 @@
         let mut flying = tokio::task::JoinSet::new();
         for index in 0..system.group.processes.len() {
             for _ in 0..4 {
-                let (client, address) = (system.client.clone(), system.caller(index));
+                let (client, address) = (system.client.clone(), system.caller_address(index));
                 flying.spawn(async move {
                     client.send(address, HttpRequest::get("/v1/call/look/x")).await
                 });
@@ -327,7 +327,7 @@
     let system = TestSystem::start(PROGRAM, 1, 1).await;
     let _server = system.start_server("l-1", "look", "east").await;
     system.wait_until_served(0, "look").await;
-    let (caller, server) = (system.caller(0), system.group.processes[0].server);
+    let (caller, server) = (system.caller_address(0), system.group.processes[0].server);
     let get = HttpRequest::get;
     let long = "x".repeat(80);
     let cases = [
@@ -382,7 +382,7 @@
     let server = system.start_server("l-1", "look", "east").await;
     system.wait_until_warm(0, 1).await;
     server.change(|behaviour| behaviour.mode = FakeMode::Hang);
-    let (client, address) = (system.client.clone(), system.caller(0));
+    let (client, address) = (system.client.clone(), system.caller_address(0));
     let request = HttpRequest::get("/v1/call/look/x");
     let sent = tokio::spawn(async move { client.send(address, request).await });
     wait_until("the server has it", || async { server.stats().in_flight == 1 }).await;
@@ -398,7 +398,7 @@
     server.change(|behaviour| behaviour.mode = FakeMode::Hang);
     let request =
         HttpRequest::get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "300");
-    let answer = system.client.send(system.caller(0), request).await.expect("answers");
+    let answer = system.client.send(system.caller_address(0), request).await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (504, "unknown"));
     let passed_on = server.stats().last_deadline_ms;
     assert!((1..=300).contains(&passed_on), "{passed_on}");
@@ -442,7 +442,8 @@
         for _ in 0..200 {
             let request =
                 HttpRequest::get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "1000");
-            let answer = system.client.send(system.caller(0), request).await.expect("answers");
+            let answer =
+                system.client.send(system.caller_address(0), request).await.expect("answers");
             failed += u32::from(answer.status != 200);
         }
         let tried = servers[0].stats().received - before;
--- a/crates/testkit/examples/bench_calls.rs
+++ b/crates/testkit/examples/bench_calls.rs
@@ -59,7 +59,7 @@
     let behaviour = FakeBehaviour { slots: 16, service_time, ..FakeBehaviour::default() };
     let servers = start_servers(&system, 4, &behaviour).await;
     let direct: Vec<SocketAddr> = servers.iter().map(FakeServer::address).collect();
-    let routed: Vec<SocketAddr> = (0..3).map(|index| system.caller(index)).collect();
+    let routed: Vec<SocketAddr> = (0..3).map(|index| system.caller_address(index)).collect();
     println!(
         "latency added by an idle system, servers without service time, 400/s, interleaved \
          (target p99 1.6 ms)"
@@ -104,7 +104,7 @@
         ..FakeBehaviour::default()
     };
     let _servers = start_servers(&system, 8, &behaviour).await;
-    let entries: Vec<SocketAddr> = (0..3).map(|index| system.caller(index)).collect();
+    let entries: Vec<SocketAddr> = (0..3).map(|index| system.caller_address(index)).collect();
     let mut full_load_goodput = 0.0;
     for share in [0.5, 0.7, 0.9, 1.0, 1.1, 1.5, 2.0] {
         let plan = load_plan(entries.clone(), "/v1/call/look/x", FULL_LOAD_RATE * share, 6);
@@ -130,7 +130,7 @@
         ..FakeBehaviour::default()
     };
     let _servers = start_servers(&system, 11, &behaviour).await;
-    let entries: Vec<SocketAddr> = (0..4).map(|index| system.caller(index)).collect();
+    let entries: Vec<SocketAddr> = (0..4).map(|index| system.caller_address(index)).collect();
     let client = HttpClient::default();
     let plan = |seconds| load_plan(entries.clone(), "/v1/call/look/x", 1_200.0, seconds);
     let before = run_load(&client, &plan(5)).await;
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -189,14 +189,14 @@
     }
 
     /// Returns an entry's address for callers' requests.
-    pub fn caller(&self, index: usize) -> SocketAddr {
+    pub fn caller_address(&self, index: usize) -> SocketAddr {
         self.group.processes[index].caller
     }
 
     /// Sends a GET request for service `look` to an entry. Returns `None` if the entry does not
     /// answer.
     pub async fn send_lookup(&self, index: usize) -> Option<HttpAnswer> {
-        self.client.send(self.caller(index), HttpRequest::get("/v1/call/look/x")).await.ok()
+        self.client.send(self.caller_address(index), HttpRequest::get("/v1/call/look/x")).await.ok()
     }
 
     /// Sends a POST request for service `book` with an idempotency key to an entry. Returns `None`
@@ -204,7 +204,7 @@
     pub async fn send_booking(&self, index: usize, key: &str, body: &str) -> Option<HttpAnswer> {
         let request = HttpRequest::post("/v1/call/book/x", body.as_bytes().to_vec())
             .with_header(header::IDEMPOTENCY_KEY, key);
-        self.client.send(self.caller(index), request).await.ok()
+        self.client.send(self.caller_address(index), request).await.ok()
     }
 
     /// Waits until an entry answers requests for service `look` or `book` with status 200.
