--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -196,7 +196,7 @@
     let (other, wiped) = ((leader + 1) % 3, (leader + 2) % 3);
     system.group.kill(leader).expect("killed");
     system.group.kill(wiped).expect("killed");
-    system.group.wipe(wiped).expect("wiped");
+    system.group.delete_data(wiped).expect("wiped");
     system.group.spawn(wiped).expect("starts");
     for _ in 0..10 {
         let answer = system.send_booking(other, &key, "x").await.expect("answers");
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -185,7 +185,7 @@
     for lost in [0, 1] {
         let old = system.status(lost).await.and_then(|page| page.replica).expect("replica").id;
         system.group.kill(lost).expect("killed");
-        system.group.wipe(lost).expect("wiped");
+        system.group.delete_data(lost).expect("wiped");
         system.group.spawn(lost).expect("starts");
         wait_until("the empty replica answers", || async { system.status(lost).await.is_some() })
             .await;
--- a/crates/testkit/src/process_group.rs
+++ b/crates/testkit/src/process_group.rs
@@ -145,7 +145,7 @@
     }
 
     /// Deletes the data folder of a stopped process.
-    pub fn wipe(&self, index: usize) -> io::Result<()> {
+    pub fn delete_data(&self, index: usize) -> io::Result<()> {
         fs::remove_dir_all(self.settings.folder.join(format!("data-{}", index + 1)))
     }
 
