--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -258,7 +258,7 @@
         warm("zaloga-1") && warm("zaloga-2")
     })
     .await;
-    first.change(|behaviour| behaviour.mode = FakeMode::DropAfterRun);
+    first.update_behaviour(|behaviour| behaviour.mode = FakeMode::DropAfterRun);
     let mut retried = None;
     for _ in 0..100 {
         let id = new_key();
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -69,14 +69,14 @@
     ];
     for (mode, status, expected, count) in cases {
         // Broken answers make servers cold again, so each case starts with servers that serve.
-        servers.iter().for_each(|server| server.change(|b| b.mode = FakeMode::Normal));
+        servers.iter().for_each(|server| server.update_behaviour(|b| b.mode = FakeMode::Normal));
         system.wait_until_served(0, "book").await;
-        servers.iter().for_each(|server| server.change(|b| b.mode = mode));
+        servers.iter().for_each(|server| server.update_behaviour(|b| b.mode = mode));
         let key = new_key();
         let answer = system.send_booking(0, &key, "x").await.expect("answers");
         assert_eq!((answer.status, outcome(&answer)), (status, expected), "{mode:?}");
         assert_eq!(execution_count(&servers, &key), count, "{mode:?}");
-        servers.iter().for_each(|server| server.change(|b| b.mode = FakeMode::Normal));
+        servers.iter().for_each(|server| server.update_behaviour(|b| b.mode = FakeMode::Normal));
         system.wait_until_served(0, "book").await;
         let again = system.send_booking(0, &key, "x").await.expect("answers");
         if expected == "not-run" {
@@ -221,11 +221,11 @@
     let mut checked = 0;
     for _ in 0..5 {
         for server in [&running, &shedding] {
-            server.change(|behaviour| behaviour.mode = FakeMode::Normal);
+            server.update_behaviour(|behaviour| behaviour.mode = FakeMode::Normal);
         }
         system.wait_until_warm(0, 2).await;
-        running.change(|behaviour| behaviour.mode = FakeMode::DropAfterRun);
-        shedding.change(|behaviour| behaviour.mode = FakeMode::ShedNotRun);
+        running.update_behaviour(|behaviour| behaviour.mode = FakeMode::DropAfterRun);
+        shedding.update_behaviour(|behaviour| behaviour.mode = FakeMode::ShedNotRun);
         for _ in 0..4 {
             let key = new_key();
             let request = testkit::HttpRequest::get("/v1/call/look/x")
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -309,8 +309,8 @@
     let server = system.start_server("l-1", "look", "east").await;
     let other = system.start_server("l-2", "look", "west").await;
     system.wait_until_warm(0, 2).await;
-    server.change(|behaviour| behaviour.mode = FakeMode::Truncate);
-    other.change(|behaviour| behaviour.padding_bytes = 100_000);
+    server.update_behaviour(|behaviour| behaviour.mode = FakeMode::Truncate);
+    other.update_behaviour(|behaviour| behaviour.padding_bytes = 100_000);
     for _ in 0..60 {
         let answer = system.send_lookup(0).await.expect("answers");
         let id = answer.header(types::header::REQUEST_ID).to_owned();
@@ -381,7 +381,7 @@
     let system = TestSystem::start(PROGRAM, 1, 1).await;
     let server = system.start_server("l-1", "look", "east").await;
     system.wait_until_warm(0, 1).await;
-    server.change(|behaviour| behaviour.mode = FakeMode::Hang);
+    server.update_behaviour(|behaviour| behaviour.mode = FakeMode::Hang);
     let (client, address) = (system.client.clone(), system.caller_address(0));
     let request = HttpRequest::get("/v1/call/look/x");
     let sent = tokio::spawn(async move { client.send(address, request).await });
@@ -395,7 +395,7 @@
     let system = TestSystem::start(PROGRAM, 1, 1).await;
     let server = system.start_server("l-1", "look", "east").await;
     system.wait_until_warm(0, 1).await;
-    server.change(|behaviour| behaviour.mode = FakeMode::Hang);
+    server.update_behaviour(|behaviour| behaviour.mode = FakeMode::Hang);
     let request =
         HttpRequest::get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "300");
     let answer = system.client.send(system.caller_address(0), request).await.expect("answers");
@@ -436,7 +436,7 @@
         let _ = system.send_lookup(0).await;
     }
     for mode in [FakeMode::Hang, FakeMode::DropAfterRun, FakeMode::ShedNotRun, FakeMode::FailFast] {
-        servers[0].change(|behaviour| behaviour.mode = mode);
+        servers[0].update_behaviour(|behaviour| behaviour.mode = mode);
         let before = servers[0].stats().received;
         let mut failed = 0;
         for _ in 0..200 {
@@ -451,7 +451,7 @@
         let allowed = if mode == FakeMode::FailFast { 20 } else { 0 };
         assert!(failed <= allowed, "{mode:?}: {failed} of 200 failed, {tried} tried there");
         assert!(tried < 60, "{mode:?}: {tried} of 200 went there");
-        servers[0].change(|behaviour| behaviour.mode = FakeMode::Normal);
+        servers[0].update_behaviour(|behaviour| behaviour.mode = FakeMode::Normal);
         wait_until("it gets work again", || async {
             let before = servers[0].stats().executions;
             for _ in 0..20 {
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -154,7 +154,7 @@
 }
 
 fn set_fault(server: &FakeServer, fault: ServerFault, is_active: bool) {
-    server.change(|behaviour| {
+    server.update_behaviour(|behaviour| {
         behaviour.slowdown = match fault {
             ServerFault::SuddenlySlow if is_active => 6.0,
             ServerFault::NoisyNeighbour if is_active => 3.0,
--- a/crates/testkit/src/fake_server.rs
+++ b/crates/testkit/src/fake_server.rs
@@ -124,7 +124,7 @@
 
     /// Changes the behaviour. Changing `slots` does not change how many requests run concurrently;
     /// that is fixed when the server starts.
-    pub fn change(&self, change: impl FnOnce(&mut FakeBehaviour)) {
+    pub fn update_behaviour(&self, change: impl FnOnce(&mut FakeBehaviour)) {
         change(&mut self.core.behaviour.lock());
     }
 
