--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -159,7 +159,7 @@
     for round in 0..10_u64 {
         let race = (0..3_u32).map(|number| {
             let action = ChangeAction::Document(timed(2_000 + number));
-            system.change(1 + round, action)
+            system.submit_action(1 + round, action)
         });
         let answers = futures(race).await;
         let winners =
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -57,7 +57,7 @@
         assert_eq!(east.stats().received, before, "new work after the bound");
         assert!(west.stats().received > other, "the other domain serves");
         let back = types::ChangeAction::Undrain("east".parse().expect("valid"));
-        assert!(matches!(system.change(1, back).await, ChangeAnswer::Accepted { .. }));
+        assert!(matches!(system.submit_action(1, back).await, ChangeAnswer::Accepted { .. }));
         wait_until("the domain serves again", || async { east.stats().received > before }).await;
         stop.store(true, Ordering::SeqCst);
     };
@@ -180,7 +180,7 @@
     let mut system = TestSystem::start(PROGRAM, 3, 4).await;
     let mut probed = testkit::test_document(5_000);
     probed.services[0].probes_per_minute = PROBES_PER_MINUTE as u16;
-    let answer = system.change(1, types::ChangeAction::Document(probed)).await;
+    let answer = system.submit_action(1, types::ChangeAction::Document(probed)).await;
     assert!(matches!(answer, ChangeAnswer::Accepted { .. }));
     let mut servers = Vec::new();
     for number in 0..6 {
--- a/crates/testkit/examples/bench_calls.rs
+++ b/crates/testkit/examples/bench_calls.rs
@@ -136,7 +136,7 @@
     let before = run_load(&client, &plan(5)).await;
     system.drain("east", 0).await;
     let during = run_load(&client, &plan(10)).await;
-    system.change(1, ChangeAction::Undrain("east".parse().expect("valid"))).await;
+    system.submit_action(1, ChangeAction::Undrain("east".parse().expect("valid"))).await;
     let after = run_load(&client, &plan(5)).await;
     println!("before: {}", before.summary_line());
     println!("during: {}", during.summary_line());
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -83,7 +83,7 @@
         let operators = OperatorClient::new(&group.operator_keys()).expect("keys");
         let system = Self { group, client: HttpClient::default(), operators, _folder: folder };
         system.bootstrap(replicas).await;
-        let answer = system.change(0, ChangeAction::Document(test_document(5_000))).await;
+        let answer = system.submit_action(0, ChangeAction::Document(test_document(5_000))).await;
         assert!(matches!(answer, ChangeAnswer::Accepted { .. }), "{answer:?}");
         system
     }
@@ -152,7 +152,7 @@
     }
 
     /// Submits a change with a new id and returns the answer.
-    pub async fn change(&self, expected: u64, action: ChangeAction) -> ChangeAnswer {
+    pub async fn submit_action(&self, expected: u64, action: ChangeAction) -> ChangeAnswer {
         let id = ChangeId(Uuid::now_v7());
         let expected_version = DocumentVersion(expected);
         self.submit_change(&ChangeRequest { id, expected_version, action }).await
@@ -161,7 +161,7 @@
     /// Drains a failure domain.
     pub async fn drain(&self, domain: &str, expected: u64) -> ChangeAnswer {
         let domain = domain.parse().expect("valid");
-        self.change(expected, ChangeAction::Drain(domain)).await
+        self.submit_action(expected, ChangeAction::Drain(domain)).await
     }
 
     /// Starts a fake server with default behaviour that announces itself to the processes.
