--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -100,7 +100,7 @@
 /// Says whether an entry goes by a view with a drain.
 async fn has_drain(system: &TestSystem, index: usize) -> bool {
     let endpoint = system.endpoint(index);
-    let page = system.operators.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
+    let page = system.operator_client.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
     page.expect("answers").drains.iter().any(|drain| drain.is_drained)
 }
 
@@ -140,7 +140,7 @@
         for index in 0..3 {
             let endpoint = system.endpoint(index);
             let page =
-                system.operators.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
+                system.operator_client.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
             is_current &= page.is_ok_and(|page| {
                 page.documents.iter().all(|known| {
                     known.version == DocumentVersion(version)
@@ -205,7 +205,11 @@
         ] {
             wait_until("the membership change is taken", || async {
                 let endpoint = system.endpoint(2);
-                system.operators.post::<_, ()>(&endpoint, "/v1/membership", &change).await.is_ok()
+                system
+                    .operator_client
+                    .post::<_, ()>(&endpoint, "/v1/membership", &change)
+                    .await
+                    .is_ok()
             })
             .await;
         }
--- a/crates/testkit/examples/bench_capacity.rs
+++ b/crates/testkit/examples/bench_capacity.rs
@@ -137,7 +137,7 @@
                 (number % 10) as u8,
             )],
         };
-        let operators = system.operators.clone();
+        let operator_client = system.operator_client.clone();
         let endpoint = system.endpoint(number % 3);
         tasks.spawn(async move {
             let change = types::ChangeRequest {
@@ -146,7 +146,7 @@
                 action: ChangeAction::Document(document),
             };
             let path = "/v1/changes";
-            let _ = operators.post::<_, types::ChangeAnswer>(&endpoint, path, &change).await;
+            let _ = operator_client.post::<_, types::ChangeAnswer>(&endpoint, path, &change).await;
         });
         if tasks.len() >= 32 {
             let _ = tasks.join_next().await;
--- a/crates/testkit/examples/bench_replicas.rs
+++ b/crates/testkit/examples/bench_replicas.rs
@@ -185,7 +185,7 @@
         for index in 0..system.group.processes.len() {
             let endpoint = system.endpoint(index);
             let page =
-                system.operators.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
+                system.operator_client.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
             is_in_force &= page
                 .is_ok_and(|page| page.drains.iter().any(|drain| drain.version.0 == version + 1));
         }
@@ -220,7 +220,7 @@
         while !pending.is_empty() {
             let endpoint = system.endpoint(pending[0]);
             let page =
-                system.operators.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
+                system.operator_client.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
             if page.is_ok_and(|page| page.drains.iter().any(|drain| drain.version.0 == 41 + round))
             {
                 pending.remove(0);
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -29,7 +29,7 @@
     /// Client for callers' requests.
     pub client: HttpClient,
     /// Client for operators' requests.
-    pub operators: OperatorClient,
+    pub operator_client: OperatorClient,
     _folder: TempDir,
 }
 
@@ -80,8 +80,9 @@
             domains: vec!["east".to_owned(), "west".to_owned()],
         };
         let group = ProcessGroup::start(settings).expect("processes start");
-        let operators = OperatorClient::new(&group.operator_keys()).expect("keys");
-        let system = Self { group, client: HttpClient::default(), operators, _folder: folder };
+        let operator_client = OperatorClient::new(&group.operator_keys()).expect("keys");
+        let system =
+            Self { group, client: HttpClient::default(), operator_client, _folder: folder };
         system.bootstrap(replicas).await;
         let answer = system.submit_action(0, ChangeAction::Document(test_document(5_000))).await;
         assert!(matches!(answer, ChangeAnswer::Accepted { .. }), "{answer:?}");
@@ -97,7 +98,7 @@
 
     /// Returns a process's status page, or `None` if it does not answer.
     pub async fn status(&self, index: usize) -> Option<StatusPage> {
-        self.operators.get(&self.endpoint(index), "/v1/status").await.ok()
+        self.operator_client.get(&self.endpoint(index), "/v1/status").await.ok()
     }
 
     async fn bootstrap(&self, replicas: usize) {
@@ -116,7 +117,7 @@
         for index in 0..replicas {
             let path = "/v1/bootstrap";
             let result: Result<(), _> =
-                self.operators.post(&self.endpoint(index), path, &members).await;
+                self.operator_client.post(&self.endpoint(index), path, &members).await;
             result.expect("bootstrap succeeds");
         }
     }
@@ -142,7 +143,9 @@
         for _ in 0..20 {
             for index in 0..self.group.processes.len() {
                 let endpoint = self.endpoint(index);
-                if let Ok(answer) = self.operators.post(&endpoint, "/v1/changes", change).await {
+                if let Ok(answer) =
+                    self.operator_client.post(&endpoint, "/v1/changes", change).await
+                {
                     return answer;
                 }
             }
