--- a/crates/testkit/examples/bench_capacity.rs
+++ b/crates/testkit/examples/bench_capacity.rs
@@ -25,7 +25,7 @@
 }
 
 /// Returns the resident memory of a process, in MiB.
-fn resident_mb(system: &TestSystem, index: usize) -> f64 {
+fn resident_mib(system: &TestSystem, index: usize) -> f64 {
     proc_field(system, index, "status", "VmRSS:") as f64 / 1024.0
 }
 
@@ -86,7 +86,7 @@
             rates[2].0,
             rates[0].1,
             rates[2].1,
-            resident_mb(&system, entries - 1)
+            resident_mib(&system, entries - 1)
         );
     }
 }
@@ -196,8 +196,8 @@
     let leader = system.leader().await;
     println!(
         "{servers:>8} {documents:>10} {:>12.1} {:>12.1} {cpu:>14.2} {rate:>12.0}",
-        resident_mb(system, MEASURED_ENTRY),
-        resident_mb(system, leader)
+        resident_mib(system, MEASURED_ENTRY),
+        resident_mib(system, leader)
     );
 }
 
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -1,5 +1,5 @@
-//! Compares server selectors: the selection of real pools (`policy::ServiceLoad`) with fake servers
-//! over sockets, in several interleaved rounds.
+//! Compares server selectors in the selection code of real pools (`policy::ServiceLoad`), with fake
+//! servers over sockets, in several interleaved rounds.
 //!
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_selection`
 
@@ -94,17 +94,17 @@
         };
         let started = Instant::now();
         let answer = client.send(server.address, HttpRequest::get("/x")).await;
-        let (outcome, stated) = match &answer {
+        let (outcome, report) = match &answer {
             Ok(answer) if answer.status == 200 => {
                 let load = answer.header(header::LOAD).parse().ok();
-                let stated = ServerReport { load, ..ServerReport::default() };
-                (AttemptOutcome::Success(started.elapsed()), stated)
+                let report = ServerReport { load, ..ServerReport::default() };
+                (AttemptOutcome::Success(started.elapsed()), report)
             }
             Ok(answer) if answer.status == 503 => (AttemptOutcome::Shed, ServerReport::default()),
             _ => (AttemptOutcome::ServerError, ServerReport::default()),
         };
         let (load, queue, _) = &mut *self.load.lock();
-        load.release(&server, outcome, &stated, Instant::now());
+        load.release(&server, outcome, &report, Instant::now());
         while let Some(waiter) = queue.pop_front() {
             if waiter.send(()).is_ok() {
                 break;
@@ -204,8 +204,7 @@
         }
         tasks
     });
-    // The fault starts after a quarter of the run; a noisy neighbour then alternates between
-    // phases.
+    // The fault starts after a quarter of the run; a noisy neighbour alternates between phases.
     let run_start = Instant::now();
     let mut is_active = false;
     while run_start.elapsed() < RUN_TIME {
--- a/crates/testkit/src/behaviour.rs
+++ b/crates/testkit/src/behaviour.rs
@@ -95,7 +95,7 @@
     pub cold_overloads: u64,
     /// Requests whose connection was closed before they completed.
     pub cancelled: u64,
-    /// Deadline header of the last request that ran, in milliseconds; 0 if absent.
+    /// Deadline header of the last request that ran, in milliseconds; 0 if absent or invalid.
     pub last_deadline_ms: u64,
     /// Requests in flight, including queued ones.
     pub in_flight: u32,
--- a/crates/testkit/src/fake_server.rs
+++ b/crates/testkit/src/fake_server.rs
@@ -52,6 +52,7 @@
     pub seed: u64,
 }
 
+/// State shared by a fake server's tasks.
 struct FakeCore {
     settings: FakeServerSettings,
     address: SocketAddr,
@@ -348,7 +349,7 @@
     let mut targets = core.settings.entries.clone();
     loop {
         let answer = announce(&targets, &core.announcement()).await;
-        let pause = match answer {
+        let delay = match answer {
             Some(answer) => {
                 targets = vec![answer.owner];
                 targets.extend(answer.others);
@@ -359,7 +360,7 @@
                 Duration::from_millis(200)
             }
         };
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
 }
 
--- a/crates/testkit/src/process_group.rs
+++ b/crates/testkit/src/process_group.rs
@@ -98,7 +98,8 @@
         Ok(())
     }
 
-    /// Returns a process's operating system id, or `None` after `kill` or `wait`.
+    /// Returns a process's operating system id, or `None` after [`Self::kill`] or
+    /// [`Self::wait`].
     pub fn pid(&self, index: usize) -> Option<u32> {
         self.processes[index].child.as_ref().map(Child::id)
     }
@@ -117,11 +118,12 @@
         Ok(())
     }
 
-    /// Sends a process a signal, given by name, such as `STOP`, `CONT` or `TERM`.
+    /// Sends a process a signal, given by name, such as `STOP`, `CONT` or `TERM`. Does nothing if
+    /// the process is not running.
     ///
     /// # Errors
     ///
-    /// Fails if the signal cannot be sent. Does nothing if the process is not running.
+    /// Fails if the signal cannot be sent.
     pub fn signal(&self, index: usize, name: &str) -> io::Result<()> {
         let Some(child) = &self.processes[index].child else {
             return Ok(());
--- a/crates/testkit/src/system.rs
+++ b/crates/testkit/src/system.rs
@@ -134,7 +134,7 @@
             }
             sleep_ms(50).await;
         }
-        panic!("no leader");
+        panic!("no replica became the leader");
     }
 
     /// Submits a change to the processes in turn until one answers. The id stays the same, so the
@@ -151,17 +151,17 @@
             }
             sleep_ms(100).await;
         }
-        panic!("the change was not decided");
+        panic!("no process answered the change");
     }
 
-    /// Submits a change with a new id and returns the answer.
+    /// Submits an action as a change with a new id. `expected` is the expected document version.
     pub async fn submit_action(&self, expected: u64, action: ChangeAction) -> ChangeAnswer {
         let id = ChangeId(Uuid::now_v7());
         let expected_version = DocumentVersion(expected);
         self.submit_change(&ChangeRequest { id, expected_version, action }).await
     }
 
-    /// Drains a failure domain.
+    /// Drains a failure domain. `expected` is the expected document version.
     pub async fn drain(&self, domain: &str, expected: u64) -> ChangeAnswer {
         let domain = domain.parse().expect("valid");
         self.submit_action(expected, ChangeAction::Drain(domain)).await
