--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 use testkit::{
-    FakeBehaviour, FakeMode, FakeServer, HttpClient, HttpRequest, System, outcome, pause,
+    FakeBehaviour, FakeMode, FakeServer, HttpClient, HttpRequest, TestSystem, outcome, sleep_ms,
     wait_until,
 };
 use types::{ChangeAnswer, ServerState};
@@ -23,41 +23,41 @@
 
 /// Sends lookups to all entries in turn until it is stopped. Returns the answers that were neither
 /// whole nor a true refusal.
-async fn look_steadily(system: &System, stop: &AtomicBool) -> Vec<String> {
+async fn look_steadily(system: &TestSystem, stop: &AtomicBool) -> Vec<String> {
     let mut bad = Vec::new();
     let mut number = 0;
     while !stop.load(Ordering::SeqCst) {
         let index = number % system.group.processes.len();
         number += 1;
-        match system.look(index).await {
+        match system.send_lookup(index).await {
             Some(answer) if answer.status == 200 && answer.text().ends_with("end\n") => {}
             Some(answer) if outcome(&answer) == "not-run" => {}
             Some(answer) => bad.push(format!("{} {}", answer.status, answer.text())),
             None => bad.push("broken".to_owned()),
         }
-        pause(2).await;
+        sleep_ms(2).await;
     }
     bad
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_domain_gets_no_new_work_and_returns() {
-    let system = System::start(PROGRAM, 3, 3).await;
-    let east = system.server("l-1", "look", "east").await;
-    let west = system.server("l-2", "look", "west").await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
+    let east = system.start_server("l-1", "look", "east").await;
+    let west = system.start_server("l-2", "look", "west").await;
     for index in 0..3 {
-        system.wait_warm(index, 2).await;
+        system.wait_until_warm(index, 2).await;
     }
     let stop = AtomicBool::new(false);
     let drill = async {
         assert!(matches!(system.drain("east", 0).await, ChangeAnswer::Accepted { .. }));
-        pause(STOP_BOUND_MS).await;
+        sleep_ms(STOP_BOUND_MS).await;
         let (before, other) = (east.stats().received, west.stats().received);
-        pause(1_500).await;
+        sleep_ms(1_500).await;
         assert_eq!(east.stats().received, before, "new work after the bound");
         assert!(west.stats().received > other, "the other domain serves");
         let back = types::ChangeAction::Undrain("east".parse().expect("valid"));
-        assert!(matches!(system.change(1, back).await, ChangeAnswer::Accepted { .. }));
+        assert!(matches!(system.submit_action(1, back).await, ChangeAnswer::Accepted { .. }));
         wait_until("the domain serves again", || async { east.stats().received > before }).await;
         stop.store(true, Ordering::SeqCst);
     };
@@ -67,18 +67,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_server_gets_no_new_work() {
-    let system = System::start(PROGRAM, 3, 3).await;
-    let leaving = system.server("l-1", "look", "east").await;
-    let staying = system.server("l-2", "look", "west").await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
+    let leaving = system.start_server("l-1", "look", "east").await;
+    let staying = system.start_server("l-2", "look", "west").await;
     for index in 0..3 {
-        system.wait_warm(index, 2).await;
+        system.wait_until_warm(index, 2).await;
     }
     let stop = AtomicBool::new(false);
     let drill = async {
         leaving.set_state(ServerState::Leaving).await;
-        pause(STOP_BOUND_MS).await;
+        sleep_ms(STOP_BOUND_MS).await;
         let before = leaving.stats().received;
-        pause(1_500).await;
+        sleep_ms(1_500).await;
         assert_eq!(leaving.stats().received, before, "new work after the bound");
         stop.store(true, Ordering::SeqCst);
     };
@@ -89,21 +89,21 @@
 
 fn cold(requests: u32) -> FakeBehaviour {
     FakeBehaviour {
-        cold_bears: 1,
-        cold_requests: requests,
+        cold_concurrency: 1,
+        warm_up_requests: requests,
         service_time: Duration::from_millis(3),
         ..FakeBehaviour::default()
     }
 }
 
-async fn press(system: &System, until: impl Fn() -> bool) {
+async fn press(system: &TestSystem, until: impl Fn() -> bool) {
     let started = Instant::now();
     while !until() {
         assert!(started.elapsed() < Duration::from_secs(40), "the servers never became warm");
         let mut flying = tokio::task::JoinSet::new();
         for index in 0..system.group.processes.len() {
             for _ in 0..4 {
-                let (client, address) = (system.client.clone(), system.caller(index));
+                let (client, address) = (system.client.clone(), system.caller_address(index));
                 flying.spawn(async move {
                     client.send(address, HttpRequest::get("/v1/call/look/x")).await
                 });
@@ -115,15 +115,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_servers_are_not_pressed_by_all_entries_together() {
-    let system = System::start(PROGRAM, 3, 3).await;
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
     // Eight good answers widen the ramp, so a server that needs eight is warm by then.
     let servers = [
-        system.server_with("l-1", "look", "east", cold(8)).await,
-        system.server_with("l-2", "look", "west", cold(8)).await,
-        system.server_with("l-3", "look", "east", cold(8)).await,
+        system.start_server_with("l-1", "look", "east", cold(8)).await,
+        system.start_server_with("l-2", "look", "west", cold(8)).await,
+        system.start_server_with("l-3", "look", "east", cold(8)).await,
     ];
-    let all_warm =
-        |servers: &[FakeServer]| servers.iter().all(|server| server.stats().since_start > 60);
+    let all_warm = |servers: &[FakeServer]| {
+        servers.iter().all(|server| server.stats().executions_since_start > 60)
+    };
     press(&system, || all_warm(&servers)).await;
     // A whole failure domain returns at once: all its servers announce new, cold starts.
     for server in &servers {
@@ -132,7 +133,7 @@
     for server in &servers {
         server.set_state(ServerState::Ready).await;
     }
-    pause(STOP_BOUND_MS).await;
+    sleep_ms(STOP_BOUND_MS).await;
     let before: u64 = servers.iter().map(|server| server.stats().cold_overloads).sum();
     assert_eq!(before, 0);
     press(&system, || all_warm(&servers)).await;
@@ -143,12 +144,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_servers_of_a_killed_owner_are_served_again() {
-    let mut system = System::start(PROGRAM, 3, 4).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 4).await;
     let mut servers = Vec::new();
     for number in 0..6 {
-        servers.push(system.server(&format!("l-{number}"), "look", "west").await);
+        servers.push(system.start_server(&format!("l-{number}"), "look", "west").await);
     }
-    system.wait_warm(0, 6).await;
+    system.wait_until_warm(0, 6).await;
     let page = system.status(0).await.and_then(|page| page.entry).expect("entry");
     assert!(page.servers.iter().any(|row| row.owner.as_str() == "host-4"));
     system.group.kill(3).expect("killed");
@@ -164,7 +165,7 @@
     .await;
     let before: Vec<u64> = servers.iter().map(|server| server.stats().received).collect();
     wait_until("all servers get work", || async {
-        let _ = system.look(0).await;
+        let _ = system.send_lookup(0).await;
         servers.iter().zip(&before).all(|(server, before)| server.stats().received > *before)
     })
     .await;
@@ -176,16 +177,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn probes_stay_within_the_budget_while_owners_change() {
-    let mut system = System::start(PROGRAM, 3, 4).await;
-    let mut probed = testkit::document(5_000);
+    let mut system = TestSystem::start(PROGRAM, 3, 4).await;
+    let mut probed = testkit::test_document(5_000);
     probed.services[0].probes_per_minute = PROBES_PER_MINUTE as u16;
-    let answer = system.change(1, types::ChangeAction::Document(probed)).await;
+    let answer = system.submit_action(1, types::ChangeAction::Document(probed)).await;
     assert!(matches!(answer, ChangeAnswer::Accepted { .. }));
     let mut servers = Vec::new();
     for number in 0..6 {
-        servers.push(system.server(&format!("l-{number}"), "look", "west").await);
+        servers.push(system.start_server(&format!("l-{number}"), "look", "west").await);
     }
-    system.wait_warm(0, 6).await;
+    system.wait_until_warm(0, 6).await;
     let mut counts: Vec<Vec<(Instant, u64)>> = vec![Vec::new(); servers.len()];
     let started = Instant::now();
     let mut step = 0;
@@ -202,7 +203,7 @@
             _ => step -= 1,
         }
         step += 1;
-        pause(50).await;
+        sleep_ms(50).await;
     }
     let allowed = PROBES_PER_MINUTE * PROBE_WINDOW.as_secs() / 60 + 1;
     for (server, counts) in servers.iter().zip(&counts) {
@@ -245,7 +246,7 @@
                     return first.address;
                 }
             }
-            pause(20).await;
+            sleep_ms(20).await;
         }
         panic!("no entry directories");
     }
@@ -253,16 +254,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rolling_restart_cuts_off_and_loses_no_request() {
-    let mut system = System::start(PROGRAM, 3, 3).await;
+    let mut system = TestSystem::start(PROGRAM, 3, 3).await;
     let slow = FakeBehaviour {
         service_time: Duration::from_millis(30),
         slots: 30,
         ..FakeBehaviour::default()
     };
-    let first = system.server_with("l-1", "look", "east", slow.clone()).await;
-    let second = system.server_with("l-2", "look", "west", slow).await;
+    let first = system.start_server_with("l-1", "look", "east", slow.clone()).await;
+    let second = system.start_server_with("l-2", "look", "west", slow).await;
     for index in 0..3 {
-        system.wait_warm(index, 2).await;
+        system.wait_until_warm(index, 2).await;
     }
     let stop = Arc::new(AtomicBool::new(false));
     let mut callers = tokio::task::JoinSet::new();
@@ -285,11 +286,11 @@
         });
     }
     for index in 0..3 {
-        pause(500).await;
+        sleep_ms(500).await;
         system.group.signal(index, "TERM").expect("asked to stop");
         assert!(system.group.wait(index).expect("ends"), "host {index} stopped uncleanly");
         system.group.spawn(index).expect("starts");
-        system.wait_served(index, "look").await;
+        system.wait_until_served(index, "look").await;
     }
     stop.store(true, Ordering::SeqCst);
     let mut total = 0;
@@ -304,14 +305,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_whole_and_belong_to_their_requests() {
-    let system = System::start(PROGRAM, 1, 1).await;
-    let server = system.server("l-1", "look", "east").await;
-    let other = system.server("l-2", "look", "west").await;
-    system.wait_warm(0, 2).await;
-    server.change(|behaviour| behaviour.mode = FakeMode::Truncate);
-    other.change(|behaviour| behaviour.padding = 100_000);
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
+    let server = system.start_server("l-1", "look", "east").await;
+    let other = system.start_server("l-2", "look", "west").await;
+    system.wait_until_warm(0, 2).await;
+    server.update_behaviour(|behaviour| behaviour.mode = FakeMode::Truncate);
+    other.update_behaviour(|behaviour| behaviour.padding_bytes = 100_000);
     for _ in 0..60 {
-        let answer = system.look(0).await.expect("answers");
+        let answer = system.send_lookup(0).await.expect("answers");
         let id = answer.header(types::header::REQUEST_ID).to_owned();
         if answer.status == 200 {
             assert!(answer.text().contains(&id) && answer.text().ends_with("end\n"));
@@ -323,10 +324,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input_of_callers_and_servers_is_refused_with_the_field() {
-    let system = System::start(PROGRAM, 1, 1).await;
-    let _server = system.server("l-1", "look", "east").await;
-    system.wait_served(0, "look").await;
-    let (caller, server) = (system.caller(0), system.group.processes[0].server);
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
+    let _server = system.start_server("l-1", "look", "east").await;
+    system.wait_until_served(0, "look").await;
+    let (caller, server) = (system.caller_address(0), system.group.processes[0].server);
     let get = HttpRequest::get;
     let long = "x".repeat(80);
     let cases = [
@@ -334,10 +335,30 @@
         (caller, get("/v1/call/LOOK/x"), 400, "service"),
         (caller, get(&format!("/v1/call/{long}/x")), 400, "service"),
         (caller, get("/v1/call/none/x"), 404, "service"),
-        (caller, get("/v1/call/look/x").with("hawthornhill-deadline-ms", "0"), 400, "deadline"),
-        (caller, get("/v1/call/look/x").with("hawthornhill-deadline-ms", "1e9"), 400, "deadline"),
-        (caller, get("/v1/call/look/x").with("idempotency-key", "7"), 400, "idempotency-key"),
-        (caller, get("/v1/call/look/x").with("hawthornhill-request-id", "z"), 400, "request-id"),
+        (
+            caller,
+            get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "0"),
+            400,
+            "deadline",
+        ),
+        (
+            caller,
+            get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "1e9"),
+            400,
+            "deadline",
+        ),
+        (
+            caller,
+            get("/v1/call/look/x").with_header("idempotency-key", "7"),
+            400,
+            "idempotency-key",
+        ),
+        (
+            caller,
+            get("/v1/call/look/x").with_header("hawthornhill-request-id", "z"),
+            400,
+            "request-id",
+        ),
         (caller, HttpRequest::post("/v1/call/look/x", vec![0; 2_000_000]), 413, "body"),
         (server, HttpRequest::post("/v1/servers", b"{}".to_vec()), 400, "server"),
         (server, HttpRequest::post("/v1/servers", vec![b'['; 5_000]), 413, "announcement"),
@@ -357,11 +378,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_caller_goes_away_is_cancelled_at_the_server() {
-    let system = System::start(PROGRAM, 1, 1).await;
-    let server = system.server("l-1", "look", "east").await;
-    system.wait_warm(0, 1).await;
-    server.change(|behaviour| behaviour.mode = FakeMode::Hang);
-    let (client, address) = (system.client.clone(), system.caller(0));
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
+    let server = system.start_server("l-1", "look", "east").await;
+    system.wait_until_warm(0, 1).await;
+    server.update_behaviour(|behaviour| behaviour.mode = FakeMode::Hang);
+    let (client, address) = (system.client.clone(), system.caller_address(0));
     let request = HttpRequest::get("/v1/call/look/x");
     let sent = tokio::spawn(async move { client.send(address, request).await });
     wait_until("the server has it", || async { server.stats().in_flight == 1 }).await;
@@ -371,12 +392,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn deadlines_shorten_on_the_way_and_late_answers_are_not_waited_for() {
-    let system = System::start(PROGRAM, 1, 1).await;
-    let server = system.server("l-1", "look", "east").await;
-    system.wait_warm(0, 1).await;
-    server.change(|behaviour| behaviour.mode = FakeMode::Hang);
-    let request = HttpRequest::get("/v1/call/look/x").with("hawthornhill-deadline-ms", "300");
-    let answer = system.client.send(system.caller(0), request).await.expect("answers");
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
+    let server = system.start_server("l-1", "look", "east").await;
+    system.wait_until_warm(0, 1).await;
+    server.update_behaviour(|behaviour| behaviour.mode = FakeMode::Hang);
+    let request =
+        HttpRequest::get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "300");
+    let answer = system.client.send(system.caller_address(0), request).await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (504, "unknown"));
     let passed_on = server.stats().last_deadline_ms;
     assert!((1..=300).contains(&passed_on), "{passed_on}");
@@ -385,40 +407,43 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_busy_steady_system_logs_nothing() {
-    let system = System::start(PROGRAM, 3, 3).await;
-    let _servers =
-        [system.server("l-1", "look", "east").await, system.server("l-2", "look", "west").await];
+    let system = TestSystem::start(PROGRAM, 3, 3).await;
+    let _servers = [
+        system.start_server("l-1", "look", "east").await,
+        system.start_server("l-2", "look", "west").await,
+    ];
     for index in 0..3 {
-        system.wait_warm(index, 2).await;
+        system.wait_until_warm(index, 2).await;
     }
     let logs = || (0..3).map(|index| system.group.log(index)).collect::<Vec<_>>();
     let before = logs();
     for number in 0..3_000 {
-        let _ = system.look(number % 3).await;
+        let _ = system.send_lookup(number % 3).await;
     }
     assert_eq!(logs(), before, "lines are for changes of state only");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn lookups_are_answered_while_a_server_hangs_breaks_or_fails_fast() {
-    let system = System::start(PROGRAM, 1, 1).await;
+    let system = TestSystem::start(PROGRAM, 1, 1).await;
     let mut servers = Vec::new();
     for number in 0..4 {
-        servers.push(system.server(&format!("l-{number}"), "look", "east").await);
+        servers.push(system.start_server(&format!("l-{number}"), "look", "east").await);
     }
-    system.wait_warm(0, 4).await;
+    system.wait_until_warm(0, 4).await;
     // Answers by which the entry knows the common latency, and by which its budgets fill.
     for _ in 0..300 {
-        let _ = system.look(0).await;
+        let _ = system.send_lookup(0).await;
     }
     for mode in [FakeMode::Hang, FakeMode::DropAfterRun, FakeMode::ShedNotRun, FakeMode::FailFast] {
-        servers[0].change(|behaviour| behaviour.mode = mode);
+        servers[0].update_behaviour(|behaviour| behaviour.mode = mode);
         let before = servers[0].stats().received;
         let mut failed = 0;
         for _ in 0..200 {
             let request =
-                HttpRequest::get("/v1/call/look/x").with("hawthornhill-deadline-ms", "1000");
-            let answer = system.client.send(system.caller(0), request).await.expect("answers");
+                HttpRequest::get("/v1/call/look/x").with_header("hawthornhill-deadline-ms", "1000");
+            let answer =
+                system.client.send(system.caller_address(0), request).await.expect("answers");
             failed += u32::from(answer.status != 200);
         }
         let tried = servers[0].stats().received - before;
@@ -426,11 +451,11 @@
         let allowed = if mode == FakeMode::FailFast { 20 } else { 0 };
         assert!(failed <= allowed, "{mode:?}: {failed} of 200 failed, {tried} tried there");
         assert!(tried < 60, "{mode:?}: {tried} of 200 went there");
-        servers[0].change(|behaviour| behaviour.mode = FakeMode::Normal);
+        servers[0].update_behaviour(|behaviour| behaviour.mode = FakeMode::Normal);
         wait_until("it gets work again", || async {
             let before = servers[0].stats().executions;
             for _ in 0..20 {
-                let _ = system.look(0).await;
+                let _ = system.send_lookup(0).await;
             }
             servers[0].stats().executions > before
         })
--- a/crates/replica/tests/driver.rs
+++ b/crates/replica/tests/driver.rs
@@ -137,9 +137,9 @@
     fn isolate(&self, isolated: usize) {
         for (index, node) in self.nodes.iter().enumerate() {
             if index == isolated {
-                (0..self.nodes.len() as u64).for_each(|n| node.switch.cut(address(n + 1)));
+                (0..self.nodes.len() as u64).for_each(|n| node.switch.block(address(n + 1)));
             } else {
-                node.switch.cut(address(isolated as u64 + 1));
+                node.switch.block(address(isolated as u64 + 1));
             }
         }
     }
