--- a/crates/operator/examples/flakonwerk.rs
+++ b/crates/operator/examples/flakonwerk.rs
@@ -3,7 +3,7 @@
 use hawthornhill_operator::{Declaration, ServiceDeclaration};
 use types::{DocumentError, TeamDocument};
 
-/// Returns the document.
+/// Returns the team's document.
 pub fn declare() -> Result<TeamDocument, DocumentError> {
     Declaration::new("flakonwerk")
         .service(ServiceDeclaration::new("proofdesk", 0).timeout_ms(1_000).hedge_percent(5))
--- a/crates/operator/src/backend.rs
+++ b/crates/operator/src/backend.rs
@@ -1,4 +1,4 @@
-//! The border between the operators' interface and the process behind it.
+//! Trait through which the operators' interface uses the process.
 
 use crate::{StatusPage, ViewPage};
 use async_trait::async_trait;
@@ -7,13 +7,13 @@
 use thiserror::Error;
 use types::{ChangeAnswer, ChangeRequest};
 
-/// Says why an operator's request was not carried out.
+/// Reason why an operator's request has no result.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BackendError {
-    /// It was not carried out and will not be.
+    /// The request was not carried out and will not be.
     #[error("{0}")]
     Refused(String),
-    /// It may have been carried out; resend it with the same id.
+    /// The request may have been carried out; resend it with the same id.
     #[error("{0}")]
     Unknown(String),
 }
@@ -21,25 +21,25 @@
 /// Carries out operators' requests.
 #[async_trait]
 pub trait OperatorBackend: Send + Sync {
-    /// Returns this process at a glance.
+    /// Returns the status of this process.
     async fn status(&self) -> StatusPage;
 
-    /// Returns the configuration in force: the leader's, or while there is none as this process
-    /// knows it.
+    /// Returns the configuration in force as the leader has it, or the local view if no leader
+    /// answers.
     async fn view(&self) -> ViewPage;
 
-    /// Returns the configuration that this process goes by.
+    /// Returns the configuration that this process uses.
     async fn local_view(&self) -> ViewPage;
 
-    /// Decides a change.
+    /// Submits a change and returns the decision on it.
     async fn change(&self, change: ChangeRequest) -> Result<ChangeAnswer, BackendError>;
 
-    /// Returns events of this process.
+    /// Returns the events of this process that match a filter.
     async fn events(&self, filter: TimelineFilter) -> Vec<EventRecord>;
 
-    /// Forms a new group of replicas.
+    /// Bootstraps this process's replica with the members of a new group.
     async fn bootstrap(&self, members: Vec<Member>) -> Result<(), BackendError>;
 
-    /// Changes the set of replicas by one member.
+    /// Adds, promotes or removes one member of the set of replicas.
     async fn change_membership(&self, change: MembershipChange) -> Result<(), BackendError>;
 }
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the operators' interface, used by `hawthornctl`.
+//! Client of the operators' interface, used by `hawthornctl`.
 
 use bytes::Bytes;
 use http::{Method, Request, StatusCode};
@@ -14,16 +14,16 @@
 use tokio_rustls::TlsConnector;
 use types::HostName;
 
-/// Time allowed for one request.
+/// Time allowed for one request, including the connection and the TLS handshake.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where a process takes operators' requests: `HOST=IP:PORT`.
+/// Host name and operators' address of a process, written as `HOST=IP:PORT`.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct OperatorEndpoint {
     /// Host name, as in its certificate.
     pub host: HostName,
-    /// Address.
+    /// Address of the operators' interface.
     pub address: SocketAddr,
 }
 
@@ -54,23 +54,23 @@
     }
 }
 
-/// Says why a request has no answer.
+/// Reason why a request failed.
 #[derive(Debug, Error)]
 pub enum ClientError {
     /// The process was not reached; nothing was carried out.
     #[error("{address}: not reached: {reason}")]
     NotReached {
-        /// The process.
+        /// Address of the process.
         address: SocketAddr,
-        /// The reason.
+        /// The step that failed and its error.
         reason: String,
     },
-    /// The request may have been carried out.
+    /// The outcome is unknown; the request may have been carried out.
     #[error("{address}: outcome unknown: {reason}")]
     Unknown {
-        /// The process.
+        /// Address of the process.
         address: SocketAddr,
-        /// The reason.
+        /// The step that failed and its error.
         reason: String,
     },
     /// The request was refused.
@@ -81,14 +81,14 @@
     Key(#[from] KeyError),
 }
 
-/// Sends requests as an operator.
+/// HTTPS client that authenticates with an operator's certificate.
 #[derive(Clone)]
 pub struct OperatorClient {
     config: Arc<ClientConfig>,
 }
 
 impl OperatorClient {
-    /// Loads the operator's key folder.
+    /// Loads the operator's key folder. Fails if its files are missing or invalid.
     pub fn new(key_folder: &Path) -> Result<Self, ClientError> {
         Ok(Self { config: Arc::new(operator_client_config(key_folder)?) })
     }
@@ -126,7 +126,7 @@
         match timeout(REQUEST_TIMEOUT, self.send(endpoint, method, path, body)).await {
             Ok(Ok((status, body))) => read_answer(address, status, &body),
             Ok(Err(error)) => Err(error),
-            Err(_) => Err(unknown("no answer in time".to_owned())),
+            Err(_) => Err(unknown(format!("no answer within {} s", REQUEST_TIMEOUT.as_secs()))),
         }
     }
 
@@ -140,19 +140,20 @@
         let address = endpoint.address;
         let not_reached = |reason: String| ClientError::NotReached { address, reason };
         let unknown = |reason: String| ClientError::Unknown { address, reason };
-        let stream =
-            TcpStream::connect(address).await.map_err(|error| not_reached(error.to_string()))?;
+        let stream = TcpStream::connect(address)
+            .await
+            .map_err(|error| not_reached(format!("connect: {error}")))?;
         let name = ServerName::try_from(endpoint.host.to_string())
-            .map_err(|error| not_reached(error.to_string()))?;
+            .map_err(|error| not_reached(format!("host name: {error}")))?;
         let stream = TlsConnector::from(self.config.clone())
             .connect(name, stream)
             .await
-            .map_err(|error| not_reached(error.to_string()))?;
+            .map_err(|error| not_reached(format!("TLS handshake: {error}")))?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| not_reached(error.to_string()))?;
+            .map_err(|error| not_reached(format!("HTTP handshake: {error}")))?;
         tokio::spawn(async move {
-            // The sender reports errors; the task only drives the connection.
+            // This task only drives the connection; the sender returns its errors.
             let _ = connection.await;
         });
         let request = Request::builder()
@@ -160,16 +161,23 @@
             .uri(path)
             .header(http::header::HOST, endpoint.host.as_str())
             .body(Full::new(Bytes::from(body)))
-            .map_err(|error| not_reached(error.to_string()))?;
-        let response =
-            sender.send_request(request).await.map_err(|error| unknown(error.to_string()))?;
+            .map_err(|error| not_reached(format!("request: {error}")))?;
+        let response = sender
+            .send_request(request)
+            .await
+            .map_err(|error| unknown(format!("request: {error}")))?;
         let status = response.status();
-        let body =
-            response.into_body().collect().await.map_err(|error| unknown(error.to_string()))?;
+        let body = response
+            .into_body()
+            .collect()
+            .await
+            .map_err(|error| unknown(format!("answer body: {error}")))?;
         Ok((status, body.to_bytes()))
     }
 }
 
+/// Decodes an answer. Of the failure statuses, 504 means that the outcome is unknown and any other that
+/// the request was refused.
 fn read_answer<T: DeserializeOwned>(
     address: SocketAddr,
     status: StatusCode,
--- a/crates/operator/src/declaration.rs
+++ b/crates/operator/src/declaration.rs
@@ -1,4 +1,4 @@
-//! The declaration library: teams write their services in Rust and print the document.
+//! Declaration library: a team describes its services in Rust and prints the resulting document.
 //!
 //! ```
 //! use hawthornhill_operator::{Declaration, ServiceDeclaration};
@@ -13,14 +13,14 @@
 
 use types::{DocumentError, NonRepeatableRule, ServiceSpec, TeamDocument};
 
-/// A team's services, as written in its own code.
+/// Builder of a team's document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Declaration {
     team: String,
     services: Vec<ServiceDeclaration>,
 }
 
-/// One service, as written in a team's code.
+/// Builder of one service in a team's document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceDeclaration {
     name: String,
@@ -34,7 +34,7 @@
 }
 
 impl Declaration {
-    /// Starts the declaration of a team.
+    /// Returns a declaration without services for a team.
     pub fn new(team: &str) -> Self {
         Self { team: team.to_owned(), services: Vec::new() }
     }
@@ -45,7 +45,7 @@
         self
     }
 
-    /// Checks the declaration. Errors name the field.
+    /// Validates the declaration and returns the document. Errors name the invalid field.
     pub fn build(self) -> Result<TeamDocument, DocumentError> {
         let team = parse_name("team", &self.team)?;
         let mut services = Vec::with_capacity(self.services.len());
@@ -59,7 +59,7 @@
 }
 
 impl ServiceDeclaration {
-    /// Starts the declaration of a service with an importance from 0 (most) to 9 (least).
+    /// Returns a service with default settings and a priority from 0 (highest) to 9 (lowest).
     pub fn new(name: &str, priority: u8) -> Self {
         Self {
             name: name.to_owned(),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Marks requests with this method (`*` for all) and path prefix as never to be repeated.
+    /// Declares that requests with this method (`*` for any) and path prefix must not be repeated.
     pub fn never_repeat(mut self, method: &str, path: &str) -> Self {
         self.non_repeatable
             .push(NonRepeatableRule { method: method.to_owned(), path: path.to_owned() });
@@ -86,25 +86,25 @@
         self
     }
 
-    /// Sets the retries allowed, in percent of requests.
+    /// Sets the maximum number of retries, in percent of requests.
     pub fn retry_percent(mut self, percent: u8) -> Self {
         self.retry_percent = Some(percent);
         self
     }
 
-    /// Sets the hedged requests allowed, in percent of requests.
+    /// Sets the maximum number of hedged requests, in percent of requests.
     pub fn hedge_percent(mut self, percent: u8) -> Self {
         self.hedge_percent = Some(percent);
         self
     }
 
-    /// Sets the concurrent requests that a cold server bears.
+    /// Sets the initial limit on concurrent requests at a cold server.
     pub fn cold_concurrency(mut self, concurrency: u16) -> Self {
         self.cold_concurrency = Some(concurrency);
         self
     }
 
-    /// Sets the probes allowed for each server, a minute.
+    /// Sets the maximum number of probes per minute for each server.
     pub fn probes_per_minute(mut self, probes: u16) -> Self {
         self.probes_per_minute = Some(probes);
         self
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,5 +1,5 @@
-//! The peer "operator": the HTTPS interface with client certificates, its client, and the library
-//! with which teams write their declarations.
+//! The operators' HTTPS interface with client certificates, its client, and the library with which
+//! teams declare their services.
 
 mod backend;
 mod client;
--- a/crates/operator/src/pages.rs
+++ b/crates/operator/src/pages.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! Pages of the operators' interface.
 
 use replica::ReplicaStatus;
 use serde::{Deserialize, Serialize};
@@ -8,37 +8,37 @@
     ServerStage, ServiceName, TeamDocument, ViewVersion,
 };
 
-/// One process at a glance.
+/// Status of one process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StatusPage {
     /// Host name.
     pub process: HostName,
     /// Failure domain.
     pub domain: DomainName,
-    /// Where other processes reach it.
+    /// Address for other processes.
     pub peer_address: SocketAddr,
-    /// Bytes sent to other processes so far.
+    /// Bytes sent to other processes since the start.
     pub sent_bytes: u64,
-    /// Bytes received from other processes so far.
+    /// Bytes received from other processes since the start.
     pub received_bytes: u64,
-    /// Its replica, if it has that role.
+    /// Status of the replica, if the process has that role.
     pub replica: Option<ReplicaStatus>,
-    /// Its entry, if it has that role.
+    /// Status of the entry, if the process has that role.
     pub entry: Option<EntryPage>,
 }
 
-/// An entry at a glance.
+/// Status of an entry.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EntryPage {
-    /// It takes new work.
+    /// The entry accepts requests.
     pub is_open: bool,
     /// Version of its view.
     pub view: ViewVersion,
-    /// Its servers.
+    /// Servers that the entry knows.
     pub servers: Vec<ServerRow>,
 }
 
-/// One server.
+/// One server as an entry knows it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServerRow {
     /// Name.
@@ -47,9 +47,9 @@
     pub service: ServiceName,
     /// Failure domain.
     pub domain: DomainName,
-    /// How much work it may be given.
+    /// The load that the server may receive.
     pub stage: ServerStage,
-    /// The entry that looks after it.
+    /// Shard owner of the server; the only entry that sends it requests while it is cold.
     pub owner: EntryName,
 }
 
@@ -60,9 +60,9 @@
     pub version: ViewVersion,
     /// All documents.
     pub documents: Vec<VersionedDocument>,
-    /// All drains.
+    /// All drains, including those of domains that are back in service.
     pub drains: Vec<VersionedDrain>,
-    /// All entries.
+    /// All registered entries.
     pub entries: Vec<EntryInfo>,
 }
 
@@ -75,14 +75,14 @@
     pub version: DocumentVersion,
 }
 
-/// A drain with its version.
+/// The drain state of a failure domain with its version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct VersionedDrain {
     /// Failure domain.
     pub domain: DomainName,
-    /// It is out of service.
+    /// The domain is out of service.
     pub is_drained: bool,
-    /// Version of the drain.
+    /// Version of the drain state.
     pub version: DocumentVersion,
 }
 
--- a/crates/operator/src/routes.rs
+++ b/crates/operator/src/routes.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTPS interface. Only clients with a certificate of the operators' authority get
-//! as far as a request.
+//! The operators' HTTPS interface. The TLS handshake admits only clients with a certificate of the
+//! operators' authority.
 
 use crate::{BackendError, OperatorBackend};
 use hyper_util::{
@@ -20,20 +20,22 @@
     reply::{Response, json, with_status},
 };
 
-/// The greatest body of a request in bytes.
+/// Maximum size of a request body in bytes.
 const MAX_BODY_BYTES: u64 = 1024 * 1024;
 /// Time allowed for a TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Says why the interface could not be opened.
+/// Reason why the operators' interface could not be started.
 #[derive(Debug, Error)]
 pub enum ListenError {
-    /// The address cannot be opened.
+    /// Binding the address failed.
     #[error("operator_address: {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The keys cannot be used.
@@ -41,12 +43,13 @@
     Key(#[from] KeyError),
 }
 
+/// JSON body of an error response.
 #[derive(Serialize)]
 struct ErrorBody {
     error: String,
 }
 
-/// Opens the interface and serves it in the background. Returns its address.
+/// Binds the interface and serves it in a background task. Returns the address bound.
 pub async fn serve_operators(
     address: SocketAddr,
     material: &TlsMaterial,
@@ -57,11 +60,11 @@
     let bind_error = |source| ListenError::Bind { address, source };
     let listener = TcpListener::bind(address).await.map_err(bind_error)?;
     let bound = listener.local_addr().map_err(bind_error)?;
-    tokio::spawn(accept(listener, acceptor, backend, counters));
+    tokio::spawn(accept_connections(listener, acceptor, backend, counters));
     Ok(bound)
 }
 
-async fn accept(
+async fn accept_connections(
     listener: TcpListener,
     acceptor: TlsAcceptor,
     backend: Arc<dyn OperatorBackend>,
@@ -70,7 +73,7 @@
     let service = warp::service(routes(backend, counters.clone()));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(50)).await;
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         let (acceptor, service, counters) = (acceptor.clone(), service.clone(), counters.clone());
@@ -107,7 +110,7 @@
         .then(|backend: Arc<dyn OperatorBackend>| async move { json(&backend.local_view().await) });
     let events = post("events").and(with_backend.clone()).then(
         |body: Vec<u8>, backend: Arc<dyn OperatorBackend>| async move {
-            match parse::<TimelineFilter>(&body) {
+            match parse_body::<TimelineFilter>(&body) {
                 Ok(filter) => json(&backend.events(filter).await).into_response(),
                 Err(response) => *response,
             }
@@ -116,21 +119,21 @@
     let changes = post("changes").and(with_backend.clone()).then(
         move |body: Vec<u8>, backend: Arc<dyn OperatorBackend>| {
             let counters = counters.clone();
-            async move { answer_change(&body, &*backend, &counters).await }
+            async move { respond_to_change(&body, &*backend, &counters).await }
         },
     );
     let bootstrap = post("bootstrap").and(with_backend.clone()).then(
         |body: Vec<u8>, backend: Arc<dyn OperatorBackend>| async move {
-            match parse(&body) {
-                Ok(members) => answer(backend.bootstrap(members).await),
+            match parse_body(&body) {
+                Ok(members) => result_response(backend.bootstrap(members).await),
                 Err(response) => *response,
             }
         },
     );
     let membership = post("membership").and(with_backend).then(
         |body: Vec<u8>, backend: Arc<dyn OperatorBackend>| async move {
-            match parse(&body) {
-                Ok(change) => answer(backend.change_membership(change).await),
+            match parse_body(&body) {
+                Ok(change) => result_response(backend.change_membership(change).await),
                 Err(response) => *response,
             }
         },
@@ -143,7 +146,7 @@
     )
 }
 
-/// Matches `POST /v1/{name}` and takes the body.
+/// Matches `POST /v1/{name}` and extracts the body.
 fn post(name: &'static str) -> impl Filter<Extract = (Vec<u8>,), Error = warp::Rejection> + Clone {
     warp::post()
         .and(warp::path("v1"))
@@ -154,12 +157,12 @@
         .map(|body: bytes::Bytes| body.to_vec())
 }
 
-async fn answer_change(
+async fn respond_to_change(
     body: &[u8],
     backend: &dyn OperatorBackend,
     counters: &DecisionCounters,
 ) -> Response {
-    let change: ChangeRequest = match parse(body) {
+    let change: ChangeRequest = match parse_body(body) {
         Ok(change) => change,
         Err(response) => {
             counters.count("change-invalid");
@@ -173,10 +176,10 @@
         return error_response(StatusCode::BAD_REQUEST, error.to_string());
     }
     counters.count("change-proposed");
-    answer(backend.change(change).await)
+    result_response(backend.change(change).await)
 }
 
-fn answer<T: Serialize>(result: Result<T, BackendError>) -> Response {
+fn result_response<T: Serialize>(result: Result<T, BackendError>) -> Response {
     match result {
         Ok(value) => json(&value).into_response(),
         Err(BackendError::Refused(reason)) => error_response(StatusCode::CONFLICT, reason),
@@ -184,7 +187,8 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Box<Response>> {
+/// Decodes a JSON body. The error response names the invalid field.
+fn parse_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, Box<Response>> {
     let mut reader = serde_json::Deserializer::from_slice(body);
     serde_path_to_error::deserialize(&mut reader).map_err(|error| {
         let reason = format!("field {}: {}", error.path(), error.inner());
--- a/crates/operator/tests/declarations.rs
+++ b/crates/operator/tests/declarations.rs
@@ -1,4 +1,5 @@
-//! The Rust and the Python library print the same documents, and refuse the same mistakes.
+//! The Rust and the Python declaration library print the same documents and reject the same mistakes.
+//! A difference would let a team's document change with the language in which it is declared.
 
 #[path = "../examples/flakonwerk.rs"]
 mod flakonwerk;
@@ -12,20 +13,21 @@
 };
 use types::TeamDocument;
 
-fn folder() -> PathBuf {
+fn library_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../declarations")
 }
 
-fn golden(name: &str) -> String {
-    std::fs::read_to_string(folder().join("golden").join(name)).expect("golden file")
+fn golden_document(name: &str) -> String {
+    std::fs::read_to_string(library_folder().join("golden").join(name)).expect("golden file")
 }
 
-/// Runs Python code in the folder of the library. Returns its output, or its error's last line.
+/// Runs Python in the folder of the Python library. Returns its output, or the last line of its error
+/// output if it fails.
 fn python(arguments: &[&str]) -> Result<String, String> {
     let output = Command::new("python3")
         .arg("-B")
         .args(arguments)
-        .current_dir(folder())
+        .current_dir(library_folder())
         .output()
         .expect("python3 runs");
     if output.status.success() {
@@ -42,7 +44,7 @@
         ("plinoterm", plinoterm::declare().expect("valid")),
     ];
     for (name, document) in cases {
-        let text = golden(&format!("{name}.json"));
+        let text = golden_document(&format!("{name}.json"));
         assert_eq!(document.to_json(), text, "{name} in Rust");
         assert_eq!(python(&[&format!("{name}.py")]).expect("runs"), text, "{name} in Python");
         assert_eq!(TeamDocument::parse(text.as_bytes()), Ok(document), "{name} parsed");
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn both_libraries_refuse_the_same_mistakes_by_field() {
+fn both_libraries_reject_the_same_mistakes_and_name_the_field() {
     let service =
         |name, priority| Declaration::new("a").service(ServiceDeclaration::new(name, priority));
     let with = |change: fn(ServiceDeclaration) -> ServiceDeclaration| {
