--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -1,4 +1,4 @@
-//! What operators' requests come to in this process.
+//! Carries out operators' requests with the roles of this process.
 
 use crate::handler::RoleHandler;
 use async_trait::async_trait;
@@ -15,13 +15,13 @@
 };
 use types::{ChangeAnswer, ChangeRequest, Command, CommandAnswer, DomainName, EntryName, HostName};
 
-/// How long a change is submitted again until its fate is known.
+/// Time within which a change is resubmitted until its outcome is known.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long the leader is asked for the current view, before this process's own is shown.
+/// Time allowed for reading the view from the leader, before the local view is returned instead.
 const VIEW_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The operators' view of this process.
+/// Answers operators' requests from the roles of this process, or through the leader.
 pub(crate) struct ProcessBackend {
     pub(crate) process: HostName,
     pub(crate) domain: DomainName,
@@ -88,8 +88,8 @@
     }
 
     async fn bootstrap(&self, members: Vec<Member>) -> Result<(), BackendError> {
-        let no_role = || BackendError::Refused("this process is no replica".to_owned());
-        let replica = self.roles.replica.get().ok_or_else(no_role)?;
+        let not_replica = || BackendError::Refused("this process is no replica".to_owned());
+        let replica = self.roles.replica.get().ok_or_else(not_replica)?;
         replica.bootstrap(members).await.map_err(BackendError::Refused)
     }
 
--- a/crates/daemon/src/handler.rs
+++ b/crates/daemon/src/handler.rs
@@ -1,4 +1,4 @@
-//! Passes messages of other processes to the role that they are for.
+//! Dispatches requests of other processes to the role that handles them.
 
 use async_trait::async_trait;
 use entry::EntryNode;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, OnceLock};
 use types::HostName;
 
-/// The roles of this process, filled in as they start.
+/// The roles of this process; each is set when it has started.
 #[derive(Default)]
 pub(crate) struct RoleHandler {
     pub(crate) replica: OnceLock<ReplicaHandle>,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon: wires the roles of one process together.
+//! The daemon: starts, connects and stops the roles of one process.
 
 mod backend;
 mod handler;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -10,7 +10,7 @@
 /// Load balancer for servers whose load shifts in milliseconds.
 #[derive(Debug, Parser)]
 #[command(version, after_help = "Example: hawthornhill --settings /etc/hawthornhill.toml")]
-struct Arguments {
+struct DaemonArguments {
     /// Settings file (TOML).
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
@@ -25,11 +25,11 @@
 
 #[derive(Debug, Subcommand)]
 enum DaemonCommand {
-    /// Print the default settings, commented.
+    /// Print the default settings with comments.
     Settings,
-    /// Run an entry on the users' platform, with the settings file that the platform names.
+    /// Run an entry on the users' platform, with the settings file named in the environment.
     Entry,
-    /// Run a replica on the users' platform, with the settings file that the platform names.
+    /// Run a replica on the users' platform, with the settings file named in the environment.
     Replica,
 }
 
@@ -44,7 +44,7 @@
 }
 
 fn run() -> Result<()> {
-    let arguments = Arguments::parse();
+    let arguments = DaemonArguments::parse();
     match arguments.command {
         Some(DaemonCommand::Settings) => {
             print!("{SETTINGS_PAGE}");
@@ -54,7 +54,7 @@
         Some(DaemonCommand::Replica) => return run_site(SiteRole::Replica),
         None => {}
     }
-    let path = arguments.settings.context("--settings FILE is needed; see --help")?;
+    let path = arguments.settings.context("missing option --settings FILE; see --help")?;
     let settings =
         ProcessSettings::load(&path).with_context(|| format!("settings {}", path.display()))?;
     if arguments.check {
@@ -64,22 +64,27 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(settings.threads)
         .enable_all()
-        .build()?;
+        .build()
+        .context("failed to start the async runtime")?;
     runtime.block_on(serve(settings))
 }
 
-/// Runs a role on the platform. Its hosts have a fraction of one core, so one thread serves all.
+/// Runs a role on the users' platform. Its hosts have a fraction of one core, so the runtime uses a
+/// single thread.
 fn run_site(role: SiteRole) -> Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .context("failed to start the async runtime")?;
     runtime.block_on(async {
-        let mut terminate = signal(SignalKind::terminate())?;
-        let mut reload = signal(SignalKind::hangup())?;
+        let mut terminate = signal(SignalKind::terminate()).context("failed to handle SIGTERM")?;
+        let mut reload = signal(SignalKind::hangup()).context("failed to handle SIGHUP")?;
         let mut process = SiteProcess::start(role).await?;
         loop {
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = reload.recv() => process.reload("signal"),
-                () = process.settings_are_due() => process.reload("file"),
+                () = process.wait_for_reload() => process.reload("file"),
             }
         }
         process.stop().await;
@@ -88,8 +93,8 @@
 }
 
 async fn serve(settings: ProcessSettings) -> Result<()> {
-    let mut terminate = signal(SignalKind::terminate())?;
-    let mut interrupt = signal(SignalKind::interrupt())?;
+    let mut terminate = signal(SignalKind::terminate()).context("failed to handle SIGTERM")?;
+    let mut interrupt = signal(SignalKind::interrupt()).context("failed to handle SIGINT")?;
     let process = DaemonProcess::start(settings).await?;
     tokio::select! {
         _ = terminate.recv() => {}
--- a/crates/daemon/src/metrics_page.rs
+++ b/crates/daemon/src/metrics_page.rs
@@ -8,11 +8,14 @@
 use std::{convert::Infallible, time::Duration};
 use tokio::net::TcpListener;
 
-/// Serves the page until the task is dropped.
+/// Pause after a failed accept.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+
+/// Serves the page on all connections that `listener` accepts. Runs until its task is cancelled.
 pub(crate) async fn serve_metrics(listener: TcpListener, metrics: MetricsRegistry) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(50)).await;
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         let metrics = metrics.clone();
@@ -21,7 +24,7 @@
                 let page = Full::new(bytes::Bytes::from(metrics.page()));
                 async move { Ok::<_, Infallible>(Response::new(page)) }
             });
-            // A reader whose connection breaks asks again.
+            // A client whose connection breaks sends its request again.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .serve_connection(TokioIo::new(stream), service)
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -20,12 +20,12 @@
 use tokio::net::TcpListener;
 use types::{EntryIncarnation, EntryInfo, EntryName};
 
-/// Concurrent requests that a cold server bears until its service says otherwise.
+/// Initial limit on concurrent requests at a cold server, until its service's declaration sets one.
 const DEFAULT_COLD_CONCURRENCY: u16 = 1;
-/// The greatest share of a service's servers left alone for bad health, in percent.
-const MAX_PAUSED_PERCENT: usize = 50;
+/// Maximum share of a service's servers that are ejected for bad health, in percent.
+const MAX_EJECTED_PERCENT: usize = 50;
 
-/// Why a process could not start.
+/// Error with which a process fails to start.
 pub type ProcessError = anyhow::Error;
 
 /// A running process.
@@ -35,7 +35,7 @@
     roles: Arc<RoleHandler>,
 }
 
-/// What all roles of a process share.
+/// State that the roles of a process share.
 struct ProcessParts {
     settings: ProcessSettings,
     material: TlsMaterial,
@@ -48,7 +48,7 @@
 }
 
 impl DaemonProcess {
-    /// Starts all roles of a process.
+    /// Starts all roles of a process, the operators' interface and the metrics page.
     pub async fn start(settings: ProcessSettings) -> Result<Self> {
         let parts = ProcessParts::open(settings)?;
         tokio::spawn(parts.node.clone().serve(parts.roles.clone()));
@@ -64,13 +64,13 @@
         Ok(Self { logger, node, roles })
     }
 
-    /// Stops all roles without cutting off a request.
+    /// Stops all roles. Requests in flight may finish within the stop grace period.
     pub async fn stop(self) {
         info!(self.logger, "stopping");
         if let Some(entry) = self.roles.entry.get()
             && !entry.stop().await
         {
-            info!(self.logger, "requests were still in flight when the grace ran out");
+            info!(self.logger, "stop grace period ended with requests still in flight");
         }
         if let Some(replica) = self.roles.replica.get() {
             replica.stop().await;
@@ -122,7 +122,7 @@
             logger: self.logger.clone(),
         };
         let handle = start_replica(settings, Box::new(store), restored)?;
-        // The cell is empty: each role is started once.
+        // Each role starts once, so the cell is still empty.
         let _ = self.roles.replica.set(handle);
         Ok(())
     }
@@ -152,7 +152,7 @@
             },
             load: LoadSettings {
                 cold_concurrency: DEFAULT_COLD_CONCURRENCY,
-                max_ejected_percent: MAX_PAUSED_PERCENT,
+                max_ejected_percent: MAX_EJECTED_PERCENT,
                 selector: Arc::new(LatencySelector),
             },
             intake: IntakeSettings {
@@ -163,7 +163,7 @@
             stop_grace: Duration::from_secs(self.settings.stop_grace_s),
         };
         let entry = EntryNode::start(Arc::new(context), settings).await?;
-        // The cell is empty: each role is started once.
+        // Each role starts once, so the cell is still empty.
         let _ = self.roles.entry.set(entry);
         Ok(())
     }
--- a/crates/daemon/src/settings_page.rs
+++ b/crates/daemon/src/settings_page.rs
@@ -1,6 +1,6 @@
-//! The default settings with their meaning, units and ranges.
+//! The default settings, with the meaning, unit and range of each.
 
-/// A settings file that states every default.
+/// A settings file that sets every field to its default.
 pub const SETTINGS_PAGE: &str = r#"# Host name, as in the certificate made by `hawthornctl keys host`.
 name = "host-1"
 # Failure domain of this host.
@@ -11,30 +11,30 @@
 data_folder = "data"
 # Folder made by `hawthornctl keys host`.
 key_folder = "keys/host-1"
-# Where other processes connect (QUIC over UDP), IP:PORT.
+# Address for other processes (QUIC over UDP), IP:PORT.
 peer_address = "127.0.0.1:7000"
-# Where callers connect (HTTP), IP:PORT.
+# Address for callers (HTTP), IP:PORT.
 caller_address = "127.0.0.1:8000"
-# Where servers announce themselves (HTTP), IP:PORT.
+# Address for announcements of servers (HTTP), IP:PORT.
 server_address = "127.0.0.1:8100"
-# Where operators connect (HTTPS with client certificates), IP:PORT.
+# Address for operators (HTTPS with client certificates), IP:PORT.
 operator_address = "127.0.0.1:9000"
-# Where the metrics page is (HTTP), IP:PORT.
+# Address of the metrics page (HTTP), IP:PORT.
 metrics_address = "127.0.0.1:9100"
-# Form of log lines: "terminal" or "json".
+# Format of log lines: "terminal" or "json".
 log_format = "terminal"
 # Worker threads, 1 to 256.
 threads = 4
-# Requests in flight and waiting at an entry, 1 to 1000000.
+# Maximum number of requests in flight and waiting at an entry, 1 to 1000000.
 max_in_flight = 4096
-# How long callers may keep the directory's answer, in seconds, 1 to 600.
+# How long callers may cache a directory answer, in seconds, 1 to 600.
 directory_max_age_s = 5
-# Longest wait for requests in flight at a planned stop, in seconds, 1 to 600.
+# Maximum wait for requests in flight at a planned stop, in seconds, 1 to 600.
 stop_grace_s = 30
-# The greatest body of a request, in bytes, 1024 to 16777216.
+# Maximum size of a request body, in bytes, 1024 to 16777216.
 max_body_bytes = 1048576
 
-# Replicas that an entry asks first; it learns of others from them.
+# Replicas that an entry contacts first; they name the others.
 [[replicas]]
 # Host name, as in the replica's certificate.
 host = "host-1"
--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -1,4 +1,4 @@
-//! The processes that serve the users' platform: entries and replicas.
+//! Entries and replicas as processes of the users' platform.
 
 use crate::{handler::RoleHandler, metrics_page::serve_metrics};
 use anyhow::{Context, Result};
@@ -26,35 +26,35 @@
 use tokio::{net::TcpListener, time::sleep};
 use types::{DomainName, EntryIncarnation, EntryInfo};
 
-/// Port of the metrics page; `deploy/system.toml` names it too.
+/// Port of the metrics page; `deploy/system.toml` contains the same number.
 const METRICS_PORT: u16 = 9464;
-/// How long a stopping entry still takes connections: until the replicas and all entries have heard
-/// of the stop, and callers that asked before it have mostly begun new connections elsewhere.
-const FAREWELL: Duration = Duration::from_millis(2_300);
-/// Time kept between the end of the last request and the kill that follows a planned stop.
+/// How long a stopping entry still accepts connections. By then the replicas and all entries know of
+/// the stop, and most callers that read the directory before it have connected to other entries.
+const ACCEPT_GRACE: Duration = Duration::from_millis(2_300);
+/// Time reserved between the end of the last request and the kill that follows a planned stop.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
-/// Share of an entry's memory for bodies of requests and answers.
-const BODY_MEMORY_SHARE: u64 = 4;
-/// Period at which the settings file is read again, since it may change without a signal.
-const SETTINGS_PERIOD: Duration = Duration::from_secs(2);
+/// An entry's memory divided by this is the limit for buffered bodies of requests and answers.
+const BODY_MEMORY_DIVISOR: u64 = 4;
+/// Period of reading the settings file again, since it may change without a signal.
+const RELOAD_PERIOD: Duration = Duration::from_secs(2);
 
-/// What an entry or a replica of the platform does.
+/// Role of a process on the users' platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SiteRole {
     /// Forwards callers' requests.
     Entry,
-    /// Keeps the replicated state, and serves operators, servers and the directory.
+    /// Keeps the replicated state, and serves operators, servers and the directory for callers.
     Replica,
 }
 
-/// A running process on the platform.
+/// A running process on the users' platform.
 pub struct SiteProcess {
     parts: SiteParts,
     entry: Option<Arc<GatewayNode>>,
     replica: Option<ReplicaHandle>,
 }
 
-/// What both roles use.
+/// State that both roles use.
 struct SiteParts {
     file: BootFile,
     settings: BootSettings,
@@ -68,7 +68,8 @@
 }
 
 impl SiteProcess {
-    /// Starts a role with the settings that the platform names.
+    /// Starts a role with the settings file named in the environment. Fails if the file is invalid,
+    /// an address cannot be bound, or the replica's files cannot be opened.
     pub async fn start(role: SiteRole) -> Result<Self> {
         let file = BootFile::from_environment()?;
         let settings = file.read()?;
@@ -88,7 +89,8 @@
         Ok(Self { parts, entry, replica })
     }
 
-    /// Reads the settings file again and takes over what may change while the process runs.
+    /// Reads the settings file again and applies its seeds, which may change at run time. If the file
+    /// cannot be read or is invalid, the current settings stay.
     pub fn reload(&mut self, cause: &str) {
         let settings = match self.parts.file.read() {
             Ok(settings) => settings,
@@ -107,18 +109,18 @@
         self.parts.settings = settings;
     }
 
-    /// Waits until the settings file should be read again.
-    pub async fn settings_are_due(&self) {
-        sleep(SETTINGS_PERIOD).await;
+    /// Waits for the period after which the settings file is read again.
+    pub async fn wait_for_reload(&self) {
+        sleep(RELOAD_PERIOD).await;
     }
 
-    /// Stops without cutting off a request.
+    /// Stops the process. Requests in flight may finish within the stop grace period.
     pub async fn stop(self) {
         info!(self.parts.logger, "stopping");
         if let Some(entry) = &self.entry
             && !entry.stop().await
         {
-            warn!(self.parts.logger, "requests were still in flight when the grace ran out");
+            warn!(self.parts.logger, "stop grace period ended with requests still in flight");
         }
         if let Some(replica) = &self.replica {
             replica.stop().await;
@@ -136,22 +138,22 @@
         let node = StreamNode::new(settings.host.clone(), timeline.clone(), links);
         let link: Arc<dyn PeerLink> = Arc::new(node.clone());
         let leader = Arc::new(LeaderClient::new(link, peer_targets(&settings.seeds)));
-        warn!(logger, "links between processes are plain TCP: no keys are set up here");
+        warn!(logger, "links between processes use plain TCP: the platform provides no keys");
         let (timer, roles) = (TimerService::start(), Arc::default());
         Self { file, settings, metrics, timeline, logger, timer, node, leader, roles }
     }
 
     async fn start_entry(&self) -> Result<Arc<GatewayNode>> {
         let settings = &self.settings;
-        let none = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+        let unused_address = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
         let info = EntryInfo {
             name: settings.host.as_str().parse()?,
             domain: settings.domain.clone(),
             incarnation: EntryIncarnation(random()),
             caller_address: settings.caller_address()?,
-            server_address: none,
+            server_address: unused_address,
             peer_address: settings.peer_address(),
-            operator_address: none,
+            operator_address: unused_address,
             serving: true,
             owns_shards: false,
         };
@@ -159,11 +161,11 @@
             info,
             budget: settings.budget,
             first_routes: StartupWait::default(),
-            body_memory_bytes: settings.memory_bytes / BODY_MEMORY_SHARE,
-            accept_grace: FAREWELL,
-            stop_grace: settings.stop_grace.saturating_sub(FAREWELL + STOP_MARGIN),
+            body_memory_bytes: settings.memory_bytes / BODY_MEMORY_DIVISOR,
+            accept_grace: ACCEPT_GRACE,
+            stop_grace: settings.stop_grace.saturating_sub(ACCEPT_GRACE + STOP_MARGIN),
         };
-        let tools = GatewayDependencies {
+        let dependencies = GatewayDependencies {
             dialect: Arc::new(PlatformDialect),
             leader: self.leader.clone(),
             metrics: self.metrics.clone(),
@@ -171,14 +173,14 @@
             logger: self.logger.clone(),
             timer: self.timer.clone(),
         };
-        let node = GatewayNode::start(gateway, tools).await?;
+        let node = GatewayNode::start(gateway, dependencies).await?;
         if let Some(address) = settings.listen.ready {
             let node = node.clone();
             let is_ready = Arc::new(move || node.is_ready());
             tokio::spawn(serve_ready(listen(address).await?, is_ready));
         }
         if let Some(address) = settings.listen.directory {
-            let directory = Arc::new(EntryListing(node.clone()));
+            let directory = Arc::new(ViewDirectory(node.clone()));
             tokio::spawn(serve_directory(listen(address).await?, directory));
         }
         Ok(node)
@@ -186,7 +188,7 @@
 
     async fn start_replica(&self) -> Result<ReplicaHandle> {
         let settings = &self.settings;
-        // A replica whose disk was lost is a new one, so that it never votes twice in a term.
+        // A replica that lost its disk gets a new identity, so that no identity votes twice in a term.
         let identity = match settings.is_first_start {
             true => seed_identity(settings.peer_address()),
             false => ReplicaId(random()),
@@ -206,23 +208,23 @@
             logger: self.logger.clone(),
         };
         let replica = start_replica(replica_settings, Box::new(store), restored)?;
-        // The cell is empty: each role is started once.
+        // Each role starts once, so the cell is still empty.
         let _ = self.roles.replica.set(replica.clone());
-        let group = MembershipSettings {
+        let membership = MembershipSettings {
             host: settings.host.clone(),
             address: settings.peer_address(),
             seeds: settings.seeds.clone(),
             is_first_start: settings.is_first_start,
             min_voters: 2 * settings.tolerated_losses + 1,
         };
-        let keeper = MembershipManager::new(
-            group,
+        let manager = MembershipManager::new(
+            membership,
             replica.clone(),
             self.leader.clone(),
             self.logger.clone(),
         );
-        tokio::spawn(keeper.run(self.timer.clone()));
-        let plane = ReplicaControl::start(
+        tokio::spawn(manager.run(self.timer.clone()));
+        let control = ReplicaControl::start(
             replica.clone(),
             self.leader.clone(),
             Arc::new(self.node.clone()),
@@ -232,19 +234,19 @@
             self.logger.clone(),
         );
         if let Some(address) = settings.listen.control {
-            tokio::spawn(serve_control(listen(address).await?, plane.clone()));
+            tokio::spawn(serve_control(listen(address).await?, control.clone()));
         }
         if let Some(address) = settings.listen.directory {
-            tokio::spawn(serve_directory(listen(address).await?, plane));
+            tokio::spawn(serve_directory(listen(address).await?, control));
         }
         Ok(replica)
     }
 }
 
-/// The directory of an entry, from the view that it holds.
-struct EntryListing(Arc<GatewayNode>);
+/// Answers directory requests from an entry's view.
+struct ViewDirectory(Arc<GatewayNode>);
 
-impl EntryDirectory for EntryListing {
+impl EntryDirectory for ViewDirectory {
     fn entries_for(&self, caller_domain: Option<&DomainName>, limit: usize) -> Vec<SocketAddr> {
         directory_entries(&self.0.view(), caller_domain, limit)
     }
@@ -253,7 +255,7 @@
 fn peer_targets(seeds: &[SocketAddr]) -> Vec<PeerTarget> {
     let host = |address: &SocketAddr| {
         let text = address.ip().to_string().replace(':', "-");
-        text.parse().unwrap_or_else(|_| unreachable!("an IP number is a valid host name"))
+        text.parse().unwrap_or_else(|_| unreachable!("an IP address is a valid host name"))
     };
     seeds.iter().map(|address| PeerTarget { host: host(address), address: *address }).collect()
 }
