--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Requests that may not be repeated run at most once, and "not run" is true, with real processes.
+//! A request that may not be repeated runs at most once, and one answered "not run" did not run, with
+//! real processes. Otherwise a booking that is sent again after a lost answer would run twice.
 
 use std::{collections::BTreeMap, future::Future};
 use testkit::{FakeMode, System, new_key, outcome, pause, runs};
@@ -7,7 +8,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornhill");
 
 #[tokio::test(flavor = "multi_thread")]
-async fn racing_and_resent_bookings_run_once() {
+async fn concurrent_and_resent_bookings_run_once() {
     let system = System::start(PROGRAM, 3, 3).await;
     let first = system.server("b-1", "book", "east").await;
     let second = system.server("b-2", "book", "west").await;
@@ -16,7 +17,7 @@
         system.wait_served(index, "book").await;
     }
 
-    // Three entries race with one key.
+    // Three entries get a booking with the same key at the same time.
     for _ in 0..30 {
         let key = new_key();
         let (a, b, c) = tokio::join!(
@@ -31,7 +32,7 @@
         assert!(answers.iter().all(|answer| outcome(answer) != "not-run"), "it ran");
     }
 
-    // The answer is lost and the request resent elsewhere.
+    // A caller that lost the answer sends the booking to another entry.
     let key = new_key();
     assert_eq!(system.registry(0, &key, "x").await.expect("answers").status, 200);
     pause(300).await;
@@ -43,7 +44,7 @@
     assert_eq!((other.status, outcome(&other)), (422, "unknown"));
     assert_eq!(runs(&servers, &key), 1);
 
-    // A key that is too old, and one that is no UUIDv7.
+    // A key that is too old, and one that is not a UUIDv7.
     let old = uuid::Builder::from_unix_timestamp_millis(1_000, &[7; 10]).into_uuid().to_string();
     let answer = system.registry(0, &old, "x").await.expect("answers");
     assert_eq!((answer.status, outcome(&answer)), (409, "unknown"));
@@ -63,12 +64,12 @@
     let cases = [
         (FakeMode::DropAfterRun, 502, "unknown", 1),
         (FakeMode::Truncate, 502, "unknown", 1),
-        // Not run, but the entry cannot know.
+        // The booking does not run, but the entry cannot know that.
         (FakeMode::DropBeforeRun, 502, "unknown", 0),
         (FakeMode::ShedNotRun, 503, "not-run", 0),
     ];
     for (mode, status, expected, count) in cases {
-        // Broken answers make servers cold again, so each case starts with servers that serve.
+        // Broken answers make servers cold again, so each case first waits until they serve.
         servers.iter().for_each(|server| server.change(|b| b.mode = FakeMode::Normal));
         system.wait_served(0, "book").await;
         servers.iter().for_each(|server| server.change(|b| b.mode = mode));
@@ -88,73 +89,74 @@
     }
 }
 
-/// Registries with many keys at all entries, each again elsewhere until it is answered, while `disturb`
-/// runs. Then no key ran twice, and none ran that was only ever answered with "not run".
-async fn book_through_trouble(
+/// Sends `count` bookings, each up to 12 times at the entries in turn until its outcome is `ran`, while
+/// `fault` runs. Checks that no booking ran twice, and that none ran if all its answers or the last one
+/// were `not-run`.
+async fn book_under_faults(
     system: &System,
     servers: &[&testkit::FakeServer],
     count: usize,
-    disturb: impl Future<Output = ()>,
+    fault: impl Future<Output = ()>,
 ) {
-    let registry = async {
+    let bookings = async {
         let mut answers: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for number in 0..count {
             let key = new_key();
             for attempt in 0..12 {
                 let index = (number + attempt) % system.group.processes.len();
                 let answer = system.registry(index, &key, "x").await;
-                let said = answer.as_ref().map_or("none", |answer| outcome(answer)).to_owned();
-                answers.entry(key.clone()).or_default().push(said.clone());
-                if said == "ran" {
+                let latest = answer.as_ref().map_or("none", |answer| outcome(answer)).to_owned();
+                answers.entry(key.clone()).or_default().push(latest.clone());
+                if latest == "ran" {
                     break;
                 }
-                // Callers come back when they are told to.
-                let told =
+                // Callers resend after the delay that the answer states.
+                let retry_after =
                     answer.map(|answer| answer.header("hawthornhill-retry-after-ms").parse());
-                pause(told.and_then(Result::ok).unwrap_or(100)).await;
+                pause(retry_after.and_then(Result::ok).unwrap_or(100)).await;
             }
         }
         answers
     };
-    let (answers, ()) = tokio::join!(registry, disturb);
+    let (answers, ()) = tokio::join!(bookings, fault);
     pause(500).await;
     let mut ran = 0;
-    for (key, said) in &answers {
+    for (key, outcomes) in &answers {
         let count = runs(servers, key);
-        assert!(count <= 1, "{key} ran {count} times: {said:?}");
-        if said.iter().all(|outcome| outcome == "not-run") {
-            assert_eq!(count, 0, "{key} ran, but was answered {said:?}");
+        assert!(count <= 1, "{key} ran {count} times: {outcomes:?}");
+        if outcomes.iter().all(|outcome| outcome == "not-run") {
+            assert_eq!(count, 0, "{key} ran, but was answered {outcomes:?}");
         }
-        let last_not_run = said.last().is_some_and(|outcome| outcome == "not-run");
-        assert!(!(last_not_run && count > 0), "{key} ran, but was answered {said:?}");
+        let is_last_not_run = outcomes.last().is_some_and(|outcome| outcome == "not-run");
+        assert!(!(is_last_not_run && count > 0), "{key} ran, but was answered {outcomes:?}");
         ran += count;
     }
     assert!(ran as usize > count / 2, "only {ran} of {count} ran");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_kill_of_a_leader_doubles_nothing() {
+async fn no_booking_runs_twice_when_a_leader_is_killed_or_suspended() {
     let mut system = System::start(PROGRAM, 3, 3).await;
     let first = system.server("b-1", "book", "east").await;
     let second = system.server("b-2", "book", "west").await;
     system.wait_served(0, "book").await;
     let leader = system.leader().await;
     system.group.kill(leader).expect("killed");
-    book_through_trouble(&system, &[&first, &second], 60, async {}).await;
+    book_under_faults(&system, &[&first, &second], 60, async {}).await;
     system.group.spawn(leader).expect("starts");
     system.wait_served(leader, "book").await;
     let next = system.leader().await;
-    system.group.signal(next, "STOP").expect("frozen");
+    system.group.signal(next, "STOP").expect("SIGSTOP is sent");
     let group = &system.group;
-    book_through_trouble(&system, &[&first, &second], 60, async {
+    book_under_faults(&system, &[&first, &second], 60, async {
         pause(4_000).await;
-        group.signal(next, "CONT").expect("thawed");
+        group.signal(next, "CONT").expect("SIGCONT is sent");
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_kill_of_an_entry_doubles_nothing() {
+async fn no_booking_runs_twice_when_an_entry_is_killed() {
     let mut system = System::start(PROGRAM, 3, 3).await;
     let slow = testkit::FakeBehaviour {
         service_time: std::time::Duration::from_millis(600),
@@ -164,7 +166,7 @@
     let second = system.server_with("b-2", "book", "west", slow).await;
     let servers = [&first, &second];
     system.wait_served(0, "book").await;
-    // The entry is killed at moments before and after the first byte leaves.
+    // The delays kill the entry before and after it sends the first byte to a server.
     for delay_ms in [0, 2, 5, 10, 100, 400] {
         let key = new_key();
         let (client, address) = (system.client.clone(), system.caller(0));
@@ -185,13 +187,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replica_with_a_wiped_disk_helps_no_second_claim_through() {
+async fn a_replica_with_a_wiped_disk_does_not_help_to_commit_a_second_claim() {
     let mut system = System::start(PROGRAM, 3, 3).await;
     let server = system.server("b-1", "book", "east").await;
     system.wait_served(0, "book").await;
     let key = new_key();
     assert_eq!(system.registry(0, &key, "x").await.expect("answers").status, 200);
-    // Two of three lose their processes, and one of these its disk: no quorum remembers the claim.
+    // Two of three replicas are killed, and one of these restarts with an empty disk. The replicas
+    // that run are a quorum, but not one that knows the claim.
     let leader = system.leader().await;
     let (other, wiped) = ((leader + 1) % 3, (leader + 2) % 3);
     system.group.kill(leader).expect("killed");
@@ -205,7 +208,7 @@
         pause(300).await;
     }
     assert_eq!(runs(&[&server], &key), 1);
-    // With the disk that remembers back, the system serves and still knows the claim.
+    // Once the replica with the intact disk is back, the system serves and still knows the claim.
     system.group.spawn(leader).expect("starts");
     system.wait_served(other, "book").await;
     let answer = system.registry(other, &key, "x").await.expect("answers");
@@ -214,7 +217,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lookup_that_one_server_ran_is_not_called_not_run_because_another_shed_it() {
+async fn a_lookup_that_ran_is_not_answered_not_run_when_another_server_sheds_it() {
     let system = System::start(PROGRAM, 1, 1).await;
     let running = system.server("l-1", "look", "east").await;
     let shedding = system.server("l-2", "look", "west").await;
@@ -236,5 +239,5 @@
             assert!(!(outcome(&answer) == "not-run" && count > 0), "it ran");
         }
     }
-    assert!(checked > 1, "the case hardly came about");
+    assert!(checked > 1, "the case occurred only {checked} times");
 }
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -1,4 +1,5 @@
-//! No entry starts work on a view older than two seconds; accepted changes never revert.
+//! No entry starts work on a view older than two seconds, and accepted changes never revert, while
+//! processes are killed, suspended or lose their disks.
 
 use std::{future::Future, time::Duration};
 use testkit::{System, document, new_key, outcome, pause, wait_until};
@@ -16,7 +17,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_majority_entries_close_and_with_it_they_open() {
+async fn entries_close_without_a_quorum_and_reopen_with_one() {
     let mut system = System::start(PROGRAM, 3, 4).await;
     let server = system.server("l-1", "look", "east").await;
     system.wait_served(3, "look").await;
@@ -27,9 +28,13 @@
     for _ in 0..20 {
         let answer = system.look(3).await.expect("answers");
         assert_eq!((answer.status, outcome(&answer)), (503, "not-run"));
-        assert!(!answer.header("retry-after").is_empty(), "says when to come back");
+        assert!(!answer.header("retry-after").is_empty(), "states when to retry");
         let keyed = system.registry(3, &new_key(), "x").await.expect("answers");
-        assert_eq!((keyed.status, outcome(&keyed)), (503, "unknown"), "it cannot look the key up");
+        assert_eq!(
+            (keyed.status, outcome(&keyed)),
+            (503, "unknown"),
+            "the entry cannot look up the key"
+        );
     }
     assert_eq!(server.stats().received, before);
     system.group.spawn(0).expect("starts");
@@ -37,13 +42,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_entry_that_wakes_with_requests_in_hand_acts_on_no_old_view() {
+async fn a_resumed_entry_does_not_serve_queued_requests_from_a_stale_view() {
     let system = System::start(PROGRAM, 3, 4).await;
     let drained = system.server("l-1", "look", "east").await;
     let other = system.server("l-2", "look", "west").await;
     system.wait_warm(3, 2).await;
-    system.group.signal(3, "STOP").expect("frozen");
-    // These wait in the sockets and queues of the frozen process.
+    system.group.signal(3, "STOP").expect("SIGSTOP is sent");
+    // These requests wait in the sockets and queues of the suspended process.
     let mut waiting = tokio::task::JoinSet::new();
     for _ in 0..40 {
         let (client, address) = (system.client.clone(), system.caller(3));
@@ -55,7 +60,7 @@
     assert!(matches!(answer, ChangeAnswer::Accepted { .. }));
     pause(limit_ms()).await;
     let before = drained.stats().received;
-    system.group.signal(3, "CONT").expect("thawed");
+    system.group.signal(3, "CONT").expect("SIGCONT is sent");
     while waiting.join_next().await.is_some() {}
     system.wait_served(3, "look").await;
     for _ in 0..50 {
@@ -66,45 +71,46 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_leader_neither_stops_the_system_nor_reverts_a_change() {
+async fn a_suspended_leader_neither_stops_the_system_nor_reverts_a_change() {
     let system = System::start(PROGRAM, 3, 4).await;
     let _server = system.server("l-1", "look", "west").await;
     system.wait_served(3, "look").await;
     let leader = system.leader().await;
-    system.group.signal(leader, "STOP").expect("frozen");
-    // A new leader is found, and entries serve on.
+    system.group.signal(leader, "STOP").expect("SIGSTOP is sent");
+    // A new leader is elected, and entries continue to serve.
     let answer = system.drain("east", 0).await;
     assert_eq!(answer, ChangeAnswer::Accepted { version: DocumentVersion(1) });
     system.wait_served(3, "look").await;
-    // In force two seconds after it was accepted, and from then on.
+    // The change is in force two seconds after it was accepted, and stays in force.
     pause(limit_ms()).await;
     assert!(has_drain(&system, 3).await, "the change is not in force");
-    system.group.signal(leader, "CONT").expect("thawed");
+    system.group.signal(leader, "CONT").expect("SIGCONT is sent");
     for _ in 0..20 {
         assert!(has_drain(&system, 3).await, "the change reverted");
         pause(100).await;
     }
-    // The old leader follows, and knows the change.
+    // The old leader becomes a follower and receives the change.
     wait_until("the old leader has the change", || async {
         let page = system.status(leader).await.and_then(|page| page.replica);
         page.is_some_and(|replica| !replica.is_leader && replica.view.0 > 0)
     })
     .await;
     let again = system.drain("east", 0).await;
-    let conflict = |answer: &ChangeAnswer| {
+    let is_conflict = |answer: &ChangeAnswer| {
         matches!(answer, ChangeAnswer::Refused { kind: RefusalKind::Conflict, .. })
     };
-    assert!(conflict(&again), "{again:?}");
+    assert!(is_conflict(&again), "{again:?}");
 }
 
-/// Says whether an entry goes by a view with a drain.
+/// Returns whether an entry uses a view with a drain.
 async fn has_drain(system: &System, index: usize) -> bool {
     let endpoint = system.endpoint(index);
     let page = system.operators.get::<operator::ViewPage>(&endpoint, "/v1/view/local").await;
     page.expect("answers").drains.iter().any(|drain| drain.is_drained)
 }
 
-fn timed(timeout_ms: u32) -> TeamDocument {
+/// Returns the test document with a timeout; different timeouts make different documents.
+fn document_with_timeout(timeout_ms: u32) -> TeamDocument {
     document(timeout_ms)
 }
 
@@ -119,7 +125,7 @@
             let change = ChangeRequest {
                 id: ChangeId(Uuid::now_v7()),
                 expected_version: DocumentVersion(version),
-                action: ChangeAction::Document(timed(1_000 + 10 * round + step)),
+                action: ChangeAction::Document(document_with_timeout(1_000 + 10 * round + step)),
             };
             if step == 3 {
                 system.group.kill(leader).expect("killed");
@@ -131,7 +137,7 @@
         }
         system.group.spawn(leader).expect("starts");
     }
-    // Every change, resent after all that, gets its first answer again and changes nothing.
+    // Each change, resent with its id after the kills, gets its first answer again and has no effect.
     for (change, answer) in &changes {
         assert_eq!(&system.decide(change).await, answer);
     }
@@ -144,7 +150,7 @@
             is_current &= page.is_ok_and(|page| {
                 page.documents.iter().all(|known| {
                     known.version == DocumentVersion(version)
-                        && known.document == timed(1_000 + 10 * 3 + 4)
+                        && known.document == document_with_timeout(1_000 + 10 * 3 + 4)
                 })
             });
         }
@@ -154,32 +160,32 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn racing_operators_with_equal_versions_get_one_winner() {
+async fn one_of_several_concurrent_changes_with_equal_versions_is_accepted() {
     let system = System::start(PROGRAM, 3, 3).await;
     for round in 0..10_u64 {
-        let race = (0..3_u32).map(|number| {
-            let action = ChangeAction::Document(timed(2_000 + number));
+        let changes = (0..3_u32).map(|number| {
+            let action = ChangeAction::Document(document_with_timeout(2_000 + number));
             system.change(1 + round, action)
         });
-        let answers = futures(race).await;
+        let answers = join_three(changes).await;
         let winners =
             answers.iter().filter(|answer| matches!(answer, ChangeAnswer::Accepted { .. })).count();
         assert_eq!(winners, 1, "{answers:?}");
     }
 }
 
-/// Runs three futures at the same time.
-async fn futures<F: Future<Output = ChangeAnswer>>(
-    race: impl Iterator<Item = F>,
+/// Runs three futures concurrently.
+async fn join_three<F: Future<Output = ChangeAnswer>>(
+    futures: impl Iterator<Item = F>,
 ) -> Vec<ChangeAnswer> {
-    let mut race = race.collect::<Vec<_>>().into_iter();
-    let mut next = || race.next().expect("three");
+    let mut futures = futures.collect::<Vec<_>>().into_iter();
+    let mut next = || futures.next().expect("three futures");
     let (a, b, c) = tokio::join!(next(), next(), next());
     vec![a, b, c]
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_group_survives_the_loss_of_any_one_disk_twice() {
+async fn the_group_survives_the_loss_of_one_disk_after_another() {
     let mut system = System::start(PROGRAM, 3, 3).await;
     assert!(matches!(system.drain("east", 0).await, ChangeAnswer::Accepted { .. }));
     for lost in [0, 1] {
@@ -191,7 +197,7 @@
             .await;
         let page = system.status(lost).await.expect("answers");
         let new = page.replica.as_ref().expect("replica").id;
-        assert_ne!(new, old, "an empty disk is another replica");
+        assert_ne!(new, old, "a replica with an empty disk has a new identity");
         let member = consensus::Member {
             id: new,
             host: page.process.clone(),
@@ -203,7 +209,7 @@
             consensus::MembershipChange::Promote(new),
             consensus::MembershipChange::Remove(old),
         ] {
-            wait_until("the membership change is taken", || async {
+            wait_until("the membership change is accepted", || async {
                 let endpoint = system.endpoint(2);
                 system.operators.post::<_, ()>(&endpoint, "/v1/membership", &change).await.is_ok()
             })
@@ -213,5 +219,5 @@
     }
     let answer = system.drain("east", 0).await;
     let is_conflict = matches!(answer, ChangeAnswer::Refused { kind: RefusalKind::Conflict, .. });
-    assert!(is_conflict, "the drain is remembered: {answer:?}");
+    assert!(is_conflict, "the drain was lost: {answer:?}");
 }
--- a/crates/daemon/tests/history/mod.rs
+++ b/crates/daemon/tests/history/mod.rs
@@ -1,4 +1,4 @@
-//! What callers, servers and the operator may never see.
+//! The history that callers, servers and the operator observed, and the check of its invariants.
 
 use stand_in::{CallEnd, CallKind};
 use std::{
@@ -6,40 +6,43 @@
     time::{Duration, Instant},
 };
 
-/// What a caller sent and saw.
+/// A call as its caller observed it.
 #[derive(Debug, Clone)]
 pub struct CallRecord {
-    /// What it sent.
+    /// Kind of the request.
     pub kind: CallKind,
-    /// What it saw.
+    /// Result of the call.
     pub end: CallEnd,
 }
 
 /// A server whose leaving was acknowledged.
 #[derive(Debug, Clone, Copy)]
-pub struct Departure {
-    /// Number of the server.
+pub struct ServerDeparture {
+    /// Index of the server.
     pub server: usize,
-    /// When it got the acknowledgement.
+    /// Time at which the server received the acknowledgement.
     pub acknowledged: Instant,
 }
 
-/// All that was seen of a system.
+/// Everything that was observed of a system.
 #[derive(Debug, Clone, Default)]
-pub struct SeenHistory {
+pub struct ObservedHistory {
     /// Calls by id.
     pub calls: HashMap<String, CallRecord>,
-    /// Where and when each call ran.
+    /// Server index and time of each run, by call id.
     pub runs: HashMap<String, Vec<(usize, Instant)>>,
-    /// Servers that left.
-    pub departures: Vec<Departure>,
+    /// Acknowledged departures of servers.
+    pub departures: Vec<ServerDeparture>,
 }
 
-impl SeenHistory {
-    /// Returns the promises that were broken. `drain_bound` is the time after which a server that
-    /// was acknowledged as leaving gets no request.
-    pub fn broken_promises(&self, drain_bound: Duration) -> Vec<String> {
-        let calls = self.calls.iter().flat_map(|(id, call)| self.broken_by_call(id, call));
+impl ObservedHistory {
+    /// Returns a text for each violation of these invariants:
+    ///
+    /// - An order runs at most once, and not at all if it was refused with 408, 421, 429 or 503.
+    /// - A success carries a server's signature and belongs to its request.
+    /// - A server gets no request later than `drain_bound` after its departure was acknowledged.
+    pub fn violations(&self, drain_bound: Duration) -> Vec<String> {
+        let calls = self.calls.iter().flat_map(|(id, call)| self.call_violations(id, call));
         let departures = self.departures.iter().flat_map(|departure| {
             let limit = departure.acknowledged + drain_bound;
             let is_late = move |(server, time): &&(usize, Instant)| {
@@ -54,34 +57,34 @@
         calls.chain(departures).collect()
     }
 
-    fn broken_by_call(&self, id: &str, call: &CallRecord) -> Vec<String> {
-        let mut broken = Vec::new();
+    fn call_violations(&self, id: &str, call: &CallRecord) -> Vec<String> {
+        let mut violations = Vec::new();
         let count = self.runs.get(id).map_or(0, Vec::len);
         let is_order = call.kind == CallKind::Order;
         if is_order && count > 1 {
-            broken.push(format!("order {id} ran {count} times"));
+            violations.push(format!("order {id} ran {count} times"));
         }
         let CallEnd::Answered { status, is_signed, id: echoed, body } = &call.end else {
-            return broken;
+            return violations;
         };
         if is_order && count > 0 && [408, 421, 429, 503].contains(status) {
-            broken.push(format!("order {id} was refused with {status} and ran"));
+            violations.push(format!("order {id} was refused with {status} and ran"));
         }
         if *status == 200 {
             if !is_signed {
-                broken.push(format!("{id}: a success of no server"));
+                violations.push(format!("{id}: a success without a server's signature"));
             }
             if echoed.as_deref() != Some(id) || !body.ends_with(&format!(" ran {id}")) {
-                broken.push(format!("{id}: the answer to {echoed:?}: {body}"));
+                violations.push(format!("{id}: the answer to {echoed:?}: {body}"));
             }
         }
-        broken
+        violations
     }
 }
 
-/// Says how a read of the configuration breaks a promise, if it does: it may not show less than what
-/// was acknowledged before it.
-pub fn broken_read(version: u64, acknowledged: u64) -> Option<String> {
+/// Returns the violation if a read of the configuration shows an older version than the one
+/// acknowledged before the read.
+pub fn stale_read(version: u64, acknowledged: u64) -> Option<String> {
     (version < acknowledged)
         .then(|| format!("read {version} after {acknowledged} was acknowledged"))
 }
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -1,4 +1,5 @@
-//! Drains, leaving servers, cold starts, owners that fail, and planned stops, with real processes.
+//! Drains, departures of servers, cold starts, failures of shard owners, and planned stops, with real
+//! processes.
 
 use caller::DirectoryAnswer;
 use std::{
@@ -18,12 +19,12 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornhill");
 
-/// The bound for drains and leaving servers: no new work later than this.
+/// Time after a drain or a departure from which a server must get no new request.
 const STOP_BOUND_MS: u64 = 3_000;
 
-/// Sends lookups to all entries in turn until it is stopped. Returns the answers that were neither
-/// whole nor a true refusal.
-async fn look_steadily(system: &System, stop: &AtomicBool) -> Vec<String> {
+/// Sends lookups to all entries in turn until `stop` is set. Returns the answers that are neither a
+/// complete success nor a refusal with the outcome `not-run`.
+async fn send_lookups(system: &System, stop: &AtomicBool) -> Vec<String> {
     let mut bad = Vec::new();
     let mut number = 0;
     while !stop.load(Ordering::SeqCst) {
@@ -41,7 +42,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drained_domain_gets_no_new_work_and_returns() {
+async fn a_drained_domain_gets_no_new_work_until_it_is_undrained() {
     let system = System::start(PROGRAM, 3, 3).await;
     let east = system.server("l-1", "look", "east").await;
     let west = system.server("l-2", "look", "west").await;
@@ -49,19 +50,19 @@
         system.wait_warm(index, 2).await;
     }
     let stop = AtomicBool::new(false);
-    let drill = async {
+    let scenario = async {
         assert!(matches!(system.drain("east", 0).await, ChangeAnswer::Accepted { .. }));
         pause(STOP_BOUND_MS).await;
         let (before, other) = (east.stats().received, west.stats().received);
         pause(1_500).await;
         assert_eq!(east.stats().received, before, "new work after the bound");
         assert!(west.stats().received > other, "the other domain serves");
-        let back = types::ChangeAction::Undrain("east".parse().expect("valid"));
-        assert!(matches!(system.change(1, back).await, ChangeAnswer::Accepted { .. }));
+        let undrain = types::ChangeAction::Undrain("east".parse().expect("valid"));
+        assert!(matches!(system.change(1, undrain).await, ChangeAnswer::Accepted { .. }));
         wait_until("the domain serves again", || async { east.stats().received > before }).await;
         stop.store(true, Ordering::SeqCst);
     };
-    let (bad, ()) = tokio::join!(look_steadily(&system, &stop), drill);
+    let (bad, ()) = tokio::join!(send_lookups(&system, &stop), scenario);
     assert!(bad.is_empty(), "{bad:?}");
 }
 
@@ -74,7 +75,7 @@
         system.wait_warm(index, 2).await;
     }
     let stop = AtomicBool::new(false);
-    let drill = async {
+    let scenario = async {
         leaving.set_state(ServerState::Leaving).await;
         pause(STOP_BOUND_MS).await;
         let before = leaving.stats().received;
@@ -82,11 +83,12 @@
         assert_eq!(leaving.stats().received, before, "new work after the bound");
         stop.store(true, Ordering::SeqCst);
     };
-    let (bad, ()) = tokio::join!(look_steadily(&system, &stop), drill);
+    let (bad, ()) = tokio::join!(send_lookups(&system, &stop), scenario);
     assert!(bad.is_empty(), "{bad:?}");
     assert!(staying.stats().received > 0);
 }
 
+/// Returns the behaviour of a server that is cold for the given number of requests.
 fn cold(requests: u32) -> FakeBehaviour {
     FakeBehaviour {
         cold_bears: 1,
@@ -96,36 +98,38 @@
     }
 }
 
-async fn press(system: &System, until: impl Fn() -> bool) {
+/// Sends batches of four concurrent lookups to each entry until `is_done` returns true.
+async fn send_batches_until(system: &System, is_done: impl Fn() -> bool) {
     let started = Instant::now();
-    while !until() {
+    while !is_done() {
         assert!(started.elapsed() < Duration::from_secs(40), "the servers never became warm");
-        let mut flying = tokio::task::JoinSet::new();
+        let mut in_flight_calls = tokio::task::JoinSet::new();
         for index in 0..system.group.processes.len() {
             for _ in 0..4 {
                 let (client, address) = (system.client.clone(), system.caller(index));
-                flying.spawn(async move {
+                in_flight_calls.spawn(async move {
                     client.send(address, HttpRequest::get("/v1/call/look/x")).await
                 });
             }
         }
-        while flying.join_next().await.is_some() {}
+        while in_flight_calls.join_next().await.is_some() {}
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cold_servers_are_not_pressed_by_all_entries_together() {
+async fn entries_together_do_not_overload_cold_servers() {
     let system = System::start(PROGRAM, 3, 3).await;
-    // Eight good answers widen the ramp, so a server that needs eight is warm by then.
+    // The ramp widens after eight successes, so a server that needs eight requests is warm by then.
     let servers = [
         system.server_with("l-1", "look", "east", cold(8)).await,
         system.server_with("l-2", "look", "west", cold(8)).await,
         system.server_with("l-3", "look", "east", cold(8)).await,
     ];
-    let all_warm =
+    let is_warm =
         |servers: &[FakeServer]| servers.iter().all(|server| server.stats().since_start > 60);
-    press(&system, || all_warm(&servers)).await;
-    // A whole failure domain returns at once: all its servers announce new, cold starts.
+    send_batches_until(&system, || is_warm(&servers)).await;
+    // All servers restart cold and announce themselves at the same time, as after the outage of a
+    // failure domain.
     for server in &servers {
         server.restart_silently();
     }
@@ -135,14 +139,14 @@
     pause(STOP_BOUND_MS).await;
     let before: u64 = servers.iter().map(|server| server.stats().cold_overloads).sum();
     assert_eq!(before, 0);
-    press(&system, || all_warm(&servers)).await;
+    send_batches_until(&system, || is_warm(&servers)).await;
     for server in &servers {
         assert_eq!(server.stats().cold_overloads, 0, "{}", server.name());
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_servers_of_a_killed_owner_are_served_again() {
+async fn servers_of_a_killed_owner_get_requests_again() {
     let mut system = System::start(PROGRAM, 3, 4).await;
     let mut servers = Vec::new();
     for number in 0..6 {
@@ -152,7 +156,7 @@
     let page = system.status(0).await.and_then(|page| page.entry).expect("entry");
     assert!(page.servers.iter().any(|row| row.owner.as_str() == "host-4"));
     system.group.kill(3).expect("killed");
-    wait_until("all servers have living owners and are warm", || async {
+    wait_until("all servers have running owners and are warm", || async {
         let page = system.status(0).await.and_then(|page| page.entry);
         page.is_some_and(|entry| {
             entry.servers.len() == 6
@@ -170,8 +174,9 @@
     .await;
 }
 
-/// Probes allowed for each server, a minute, and the window in which they are counted.
+/// Maximum number of probes per minute for each server.
 const PROBES_PER_MINUTE: u64 = 240;
+/// Length of the sliding window in which probes are counted.
 const PROBE_WINDOW: Duration = Duration::from_secs(5);
 
 #[tokio::test(flavor = "multi_thread")]
@@ -193,10 +198,10 @@
         for (server, counts) in servers.iter().zip(&mut counts) {
             counts.push((Instant::now(), server.stats().probes));
         }
-        // ShardOwners are frozen, thawed, killed and started again meanwhile.
+        // Meanwhile one shard owner is suspended and resumed, another is killed and restarted.
         match (step, started.elapsed().as_secs()) {
-            (0, 3..) => system.group.signal(3, "STOP").expect("frozen"),
-            (1, 7..) => system.group.signal(3, "CONT").expect("thawed"),
+            (0, 3..) => system.group.signal(3, "STOP").expect("SIGSTOP is sent"),
+            (1, 7..) => system.group.signal(3, "CONT").expect("SIGCONT is sent"),
             (2, 9..) => system.group.kill(2).expect("killed"),
             (3, 12..) => system.group.spawn(2).expect("starts"),
             _ => step -= 1,
@@ -211,18 +216,18 @@
             let after = in_window.map(|(_, count)| *count).max().unwrap_or(*before);
             assert!(after - before <= allowed, "{}: {}", server.name(), after - before);
         }
-        assert!(server.stats().probes > 4, "{} was hardly probed", server.name());
+        assert!(server.stats().probes > 4, "{} got too few probes", server.name());
     }
 }
 
-/// A caller that uses the directory as told: keeps its answer for its max-age, and not longer.
-struct DirectedCaller {
+/// A caller that uses a directory answer for its max-age and no longer.
+struct DirectoryCaller {
     client: HttpClient,
     known: Vec<SocketAddr>,
     entry: Option<(SocketAddr, Instant)>,
 }
 
-impl DirectedCaller {
+impl DirectoryCaller {
     async fn entry(&mut self) -> SocketAddr {
         if let Some((entry, until)) = self.entry
             && Instant::now() < until
@@ -247,7 +252,7 @@
             }
             pause(20).await;
         }
-        panic!("no entry directories");
+        panic!("no entry answered the directory request");
     }
 }
 
@@ -269,7 +274,7 @@
     for _ in 0..8 {
         let stop = stop.clone();
         let known = system.group.processes.iter().map(|process| process.caller).collect();
-        let mut caller = DirectedCaller { client: system.client.clone(), known, entry: None };
+        let mut caller = DirectoryCaller { client: system.client.clone(), known, entry: None };
         callers.spawn(async move {
             let (mut good, mut bad) = (0_u64, Vec::new());
             while !stop.load(Ordering::SeqCst) {
@@ -303,7 +308,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_are_whole_and_belong_to_their_requests() {
+async fn successful_answers_are_complete_and_belong_to_their_requests() {
     let system = System::start(PROGRAM, 1, 1).await;
     let server = system.server("l-1", "look", "east").await;
     let other = system.server("l-2", "look", "west").await;
@@ -322,7 +327,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_of_callers_and_servers_is_refused_with_the_field() {
+async fn invalid_requests_of_callers_and_servers_are_refused_with_the_field() {
     let system = System::start(PROGRAM, 1, 1).await;
     let _server = system.server("l-1", "look", "east").await;
     system.wait_served(0, "look").await;
@@ -356,7 +361,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_caller_goes_away_is_cancelled_at_the_server() {
+async fn a_request_is_cancelled_at_the_server_when_its_caller_disconnects() {
     let system = System::start(PROGRAM, 1, 1).await;
     let server = system.server("l-1", "look", "east").await;
     system.wait_warm(0, 1).await;
@@ -364,13 +369,16 @@
     let (client, address) = (system.client.clone(), system.caller(0));
     let request = HttpRequest::get("/v1/call/look/x");
     let sent = tokio::spawn(async move { client.send(address, request).await });
-    wait_until("the server has it", || async { server.stats().in_flight == 1 }).await;
+    wait_until("the server has the request", || async { server.stats().in_flight == 1 }).await;
     sent.abort();
-    wait_until("it is cancelled", || async { server.stats().cancelled == 1 }).await;
+    wait_until("the request is cancelled at the server", || async {
+        server.stats().cancelled == 1
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn deadlines_shorten_on_the_way_and_late_answers_are_not_waited_for() {
+async fn servers_get_the_remaining_deadline_and_late_answers_are_not_awaited() {
     let system = System::start(PROGRAM, 1, 1).await;
     let server = system.server("l-1", "look", "east").await;
     system.wait_warm(0, 1).await;
@@ -380,11 +388,14 @@
     assert_eq!((answer.status, outcome(&answer)), (504, "unknown"));
     let passed_on = server.stats().last_deadline_ms;
     assert!((1..=300).contains(&passed_on), "{passed_on}");
-    wait_until("the server is told", || async { server.stats().cancelled == 1 }).await;
+    wait_until("the request is cancelled at the server", || async {
+        server.stats().cancelled == 1
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_busy_steady_system_logs_nothing() {
+async fn a_system_under_steady_load_writes_no_log_lines() {
     let system = System::start(PROGRAM, 3, 3).await;
     let _servers =
         [system.server("l-1", "look", "east").await, system.server("l-2", "look", "west").await];
@@ -396,18 +407,18 @@
     for number in 0..3_000 {
         let _ = system.look(number % 3).await;
     }
-    assert_eq!(logs(), before, "lines are for changes of state only");
+    assert_eq!(logs(), before, "only changes of state are logged");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lookups_are_answered_while_a_server_hangs_breaks_or_fails_fast() {
+async fn lookups_are_answered_while_one_server_hangs_disconnects_sheds_or_fails_fast() {
     let system = System::start(PROGRAM, 1, 1).await;
     let mut servers = Vec::new();
     for number in 0..4 {
         servers.push(system.server(&format!("l-{number}"), "look", "east").await);
     }
     system.wait_warm(0, 4).await;
-    // Answers by which the entry knows the common latency, and by which its budgets fill.
+    // These answers give the entry its estimate of the usual latency and fill its budgets.
     for _ in 0..300 {
         let _ = system.look(0).await;
     }
@@ -422,12 +433,13 @@
             failed += u32::from(answer.status != 200);
         }
         let tried = servers[0].stats().received - before;
-        // A server error is an answer, and passed on; all others are tried elsewhere.
+        // A server error is an answer and is passed on; after all other failures the lookup is tried
+        // at another server.
         let allowed = if mode == FakeMode::FailFast { 20 } else { 0 };
         assert!(failed <= allowed, "{mode:?}: {failed} of 200 failed, {tried} tried there");
         assert!(tried < 60, "{mode:?}: {tried} of 200 went there");
         servers[0].change(|behaviour| behaviour.mode = FakeMode::Normal);
-        wait_until("it gets work again", || async {
+        wait_until("the server gets requests again", || async {
             let before = servers[0].stats().executions;
             for _ in 0..20 {
                 let _ = system.look(0).await;
--- a/crates/daemon/tests/program.rs
+++ b/crates/daemon/tests/program.rs
@@ -7,6 +7,7 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornhill");
 
+/// Runs the program. Returns its exit code and its standard output and error.
 fn run(arguments: &[&str]) -> (i32, String) {
     let output = Command::new(PROGRAM).args(arguments).output().expect("runs");
     let text = [output.stdout, output.stderr].concat();
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn settings_are_checked_without_starting() {
+fn check_validates_settings_without_starting_a_process() {
     let folder = tempfile::tempdir().expect("folder");
     let path = folder.path().join("host.toml");
     let path_text = path.to_str().expect("text");
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_process_that_cannot_start_says_why() {
+fn a_process_without_keys_fails_to_start_and_names_the_setting_and_the_file() {
     let folder = tempfile::tempdir().expect("folder");
     let path = folder.path().join("host.toml");
     std::fs::write(&path, SETTINGS_PAGE).expect("written");
--- a/crates/daemon/tests/promises.rs
+++ b/crates/daemon/tests/promises.rs
@@ -1,8 +1,9 @@
-//! Each check of the soak fails when its promise is broken: histories with one planted fault.
+//! Each invariant check of the soak test detects its violation, in histories with one injected
+//! violation each. A check that detects nothing would let the soak test pass without effect.
 
 mod history;
 
-use history::{CallRecord, Departure, SeenHistory, broken_read};
+use history::{CallRecord, ObservedHistory, ServerDeparture, stale_read};
 use stand_in::{CallEnd, CallKind};
 use std::time::{Duration, Instant};
 
@@ -13,9 +14,10 @@
     CallEnd::Answered { status, is_signed: true, id: Some(id.to_owned()), body }
 }
 
-/// An order that ran once, a lookup that ran twice, and an order that was refused.
-fn sound(now: Instant) -> SeenHistory {
-    let mut history = SeenHistory::default();
+/// Returns a history without violations: an order that ran once, a lookup that ran twice, an order
+/// that was refused, and one that ran but whose connection broke.
+fn valid_history(now: Instant) -> ObservedHistory {
+    let mut history = ObservedHistory::default();
     let mut add = |id: &str, kind, end, runs: usize| {
         history.calls.insert(id.to_owned(), CallRecord { kind, end });
         history.runs.insert(id.to_owned(), vec![(1, now); runs]);
@@ -24,63 +26,63 @@
     add("lookup", CallKind::Lookup, answered(200, "lookup"), 2);
     add("refused", CallKind::Order, answered(503, "refused"), 0);
     add("broken", CallKind::Order, CallEnd::Broken, 1);
-    history.departures.push(Departure { server: 2, acknowledged: now });
+    history.departures.push(ServerDeparture { server: 2, acknowledged: now });
     history
 }
 
 #[test]
-fn sound_history_breaks_nothing() {
-    assert_eq!(sound(Instant::now()).broken_promises(DRAIN_BOUND), Vec::<String>::new());
+fn a_valid_history_has_no_violations() {
+    assert_eq!(valid_history(Instant::now()).violations(DRAIN_BOUND), Vec::<String>::new());
 }
 
 #[test]
-fn each_planted_fault_is_found() {
-    type Plant = fn(&mut SeenHistory, Instant);
-    let plants: [(&str, Plant); 6] = [
+fn each_injected_violation_is_detected() {
+    type Injection = fn(&mut ObservedHistory, Instant);
+    let cases: [(&str, Injection); 6] = [
         ("ran 2 times", |history, now| {
-            history.runs.get_mut("order").expect("there").push((0, now));
+            history.runs.get_mut("order").expect("present").push((0, now));
         }),
         ("ran 2 times", |history, now| {
-            history.runs.get_mut("broken").expect("there").push((0, now));
+            history.runs.get_mut("broken").expect("present").push((0, now));
         }),
         ("was refused with 503 and ran", |history, now| {
-            history.runs.get_mut("refused").expect("there").push((0, now));
+            history.runs.get_mut("refused").expect("present").push((0, now));
         }),
-        ("a success of no server", |history, _| {
+        ("a success without a server's signature", |history, _| {
             if let CallEnd::Answered { is_signed, .. } =
-                &mut history.calls.get_mut("lookup").expect("there").end
+                &mut history.calls.get_mut("lookup").expect("present").end
             {
                 *is_signed = false;
             }
         }),
         ("the answer to", |history, _| {
-            history.calls.get_mut("lookup").expect("there").end = answered(200, "order");
+            history.calls.get_mut("lookup").expect("present").end = answered(200, "order");
         }),
         ("after it had left", |history, now| {
             let late = now + DRAIN_BOUND + Duration::from_millis(1);
-            history.runs.get_mut("lookup").expect("there").push((2, late));
+            history.runs.get_mut("lookup").expect("present").push((2, late));
         }),
     ];
-    for (text, plant) in plants {
+    for (text, inject) in cases {
         let now = Instant::now();
-        let mut history = sound(now);
-        plant(&mut history, now);
-        let broken = history.broken_promises(DRAIN_BOUND);
-        assert_eq!(broken.len(), 1, "{broken:?}");
-        assert!(broken[0].contains(text), "{broken:?}");
+        let mut history = valid_history(now);
+        inject(&mut history, now);
+        let violations = history.violations(DRAIN_BOUND);
+        assert_eq!(violations.len(), 1, "{violations:?}");
+        assert!(violations[0].contains(text), "{violations:?}");
     }
 }
 
 #[test]
-fn work_of_a_leaving_server_within_the_bound_is_allowed() {
+fn a_run_at_a_leaving_server_within_the_bound_is_allowed() {
     let now = Instant::now();
-    let mut history = sound(now);
-    history.runs.get_mut("lookup").expect("there").push((2, now + DRAIN_BOUND));
-    assert_eq!(history.broken_promises(DRAIN_BOUND), Vec::<String>::new());
+    let mut history = valid_history(now);
+    history.runs.get_mut("lookup").expect("present").push((2, now + DRAIN_BOUND));
+    assert_eq!(history.violations(DRAIN_BOUND), Vec::<String>::new());
 }
 
 #[test]
-fn read_older_than_what_was_acknowledged_is_found() {
-    assert_eq!((broken_read(7, 7), broken_read(8, 7)), (None, None));
-    assert!(broken_read(6, 7).is_some_and(|text| text.contains("read 6 after 7")));
+fn a_read_of_an_older_version_than_acknowledged_is_detected() {
+    assert_eq!((stale_read(7, 7), stale_read(8, 7)), (None, None));
+    assert!(stale_read(6, 7).is_some_and(|text| text.contains("read 6 after 7")));
 }
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -1,12 +1,13 @@
-//! A randomized soak: the real programs as processes, faults from outside them, and the promises
-//! checked from what callers, servers and the operator see.
+//! Randomized soak test. It runs the real programs as processes, injects faults from outside, and
+//! checks the invariants on what callers, servers and the operator observe.
 //!
-//! One seed decides the series of faults. `SOAK_SEEDS=7,8,9` plays other seeds than those of CI,
-//! `SOAK_SECONDS` sets how long faults go on in each, and `SOAK_ENTRIES` the number of entries.
+//! The seed determines the series of faults. `SOAK_SEEDS=7,8,9` runs these seeds instead of the CI
+//! seeds, `SOAK_SECONDS` sets how long faults are injected for each seed, and `SOAK_ENTRIES` sets the
+//! number of entries.
 
 mod history;
 
-use history::{CallRecord, Departure, SeenHistory, broken_read};
+use history::{CallRecord, ObservedHistory, ServerDeparture, stale_read};
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 use stand_in::{
     BOOT_VARIABLE, BootFileText, CallEnd, CallKind, FaultyProxy, ProxyFault, ServerMode,
@@ -27,29 +28,29 @@
 };
 use tokio::time::sleep;
 
-/// Seeds that CI plays. A seed that ever failed is added with a line on its cause.
+/// Seeds that CI runs. A seed that ever failed is added, with the cause of the failure.
 ///
-/// - 103: two replicas lost their disks 4.7 s apart; the former identity of the first one was still a
-///   voter, since it was only removed at once while its successor was a learner.
+/// - 103: two replicas lost their disks 4.7 s apart. The old identity of the first one was still a
+///   voter, because an old identity was removed immediately only while its successor was a learner.
 const CI_SEEDS: [u64; 3] = [1, 2, 103];
-/// How long faults go on in each of them.
+/// How long faults are injected for each CI seed.
 const CI_FAULT_TIME: Duration = Duration::from_secs(8);
-/// Replicas of one system; one disk may be lost.
+/// Replicas of one system, which tolerates the loss of one disk.
 const REPLICAS: usize = 3;
-/// Entries of one system, unless `SOAK_ENTRIES` says another number, up to 240.
+/// Entries of one system, unless `SOAK_ENTRIES` sets another number, at most 240.
 const CI_ENTRIES: usize = 3;
 /// Servers of one system.
 const SERVERS: usize = 5;
-/// Time after which a server that was acknowledged as leaving may get no request, as the users state
-/// it, and a margin for this machine.
+/// Time after which a server whose departure was acknowledged must get no request: the 2 s that the
+/// users require and a margin of 0.5 s for the test machine.
 const DRAIN_BOUND: Duration = Duration::from_millis(2_000 + 500);
-/// Time after which a read must show what was acknowledged.
+/// Time after which a read must show an acknowledged version.
 const READ_BOUND: Duration = Duration::from_millis(2_000);
-/// Time after the last fault within which requests must be served again.
+/// Time after the last fault within which every entry must serve again.
 const RECOVERY_BOUND: Duration = Duration::from_secs(15);
 
-/// One process of the system.
-struct SiteMember {
+/// An entry or a replica of the system under test.
+struct SoakProcess {
     boot: BootFileText,
     file: PathBuf,
     role: &'static str,
@@ -57,7 +58,7 @@
     is_paused: bool,
 }
 
-impl SiteMember {
+impl SoakProcess {
     fn start(&mut self) -> io::Result<()> {
         std::fs::write(&self.file, self.boot.render())?;
         let log =
@@ -90,8 +91,9 @@
         Ok(())
     }
 
-    /// Kills a replica and leaves a record that was torn while it was written.
-    fn kill_in_mid_write(&mut self, torn: &[u8]) -> io::Result<()> {
+    /// Kills a replica and appends `torn` to its log, as if the kill had interrupted the write of a
+    /// record.
+    fn kill_with_torn_record(&mut self, torn: &[u8]) -> io::Result<()> {
         self.kill()?;
         let Some(folder) = &self.boot.data_folder else {
             return Ok(());
@@ -99,7 +101,7 @@
         File::options().append(true).open(folder.join("replica/log"))?.write_all(torn)
     }
 
-    /// Asks the process to stop, and waits until it has.
+    /// Sends SIGTERM and waits for the process to exit.
     fn stop(&mut self) -> io::Result<()> {
         self.resume()?;
         self.signal("TERM")?;
@@ -117,34 +119,35 @@
     }
 }
 
-impl Drop for SiteMember {
+impl Drop for SoakProcess {
     fn drop(&mut self) {
-        // The folder goes away with the test; a process that has ended already needs no kill.
+        // The process may have ended already, and its folder is deleted with the test.
         let _ = self.kill();
     }
 }
 
-/// A running system with its callers and servers.
-struct SoakSite {
-    members: Vec<SiteMember>,
+/// A running system with its servers and the history of its calls.
+struct SoakSystem {
+    processes: Vec<SoakProcess>,
     servers: Vec<(Arc<StandInServer>, Arc<FaultyProxy>)>,
     operator: SiteOperator,
     entries: Vec<SocketAddr>,
     calls: Arc<Mutex<HashMap<String, CallRecord>>>,
     acknowledged: Arc<AtomicU64>,
-    departures: Vec<Departure>,
+    departures: Vec<ServerDeparture>,
 }
 
-impl SoakSite {
+impl SoakSystem {
     async fn start(folder: &Path, seed: u64, entry_count: usize) -> io::Result<Self> {
         let ports = SitePorts::free()?;
-        // Each run has loopback addresses of its own.
-        let net = (std::process::id() % 200) as u8;
-        let ip =
-            |number: usize| Ipv4Addr::new(127, 10 + net, (seed % 250) as u8 + 1, number as u8 + 1);
+        // Each run has its own loopback addresses, by process id and seed.
+        let second_octet = 10 + (std::process::id() % 200) as u8;
+        let ip = |number: usize| {
+            Ipv4Addr::new(127, second_octet, (seed % 250) as u8 + 1, number as u8 + 1)
+        };
         let domains: Vec<String> = ["north", "south", "west"].map(str::to_owned).into();
         let seeds: Vec<Ipv4Addr> = (0..REPLICAS).map(ip).collect();
-        let mut members = Vec::new();
+        let mut processes = Vec::new();
         for number in 0..REPLICAS + entry_count {
             let is_replica = number < REPLICAS;
             let role = if is_replica { "replica" } else { "entry" };
@@ -161,9 +164,9 @@
                 data_folder,
             };
             let file = folder.join(format!("{node}.conf"));
-            let mut member = SiteMember { boot, file, role, child: None, is_paused: false };
-            member.start()?;
-            members.push(member);
+            let mut process = SoakProcess { boot, file, role, child: None, is_paused: false };
+            process.start()?;
+            processes.push(process);
         }
         let operator = SiteOperator { replicas: seeds, port: ports.control };
         let mut servers = Vec::new();
@@ -177,7 +180,7 @@
         let entries =
             (REPLICAS..REPLICAS + entry_count).map(|n| (ip(n), ports.callers).into()).collect();
         Ok(Self {
-            members,
+            processes,
             servers,
             operator,
             entries,
@@ -187,19 +190,20 @@
         })
     }
 
-    /// Puts a configuration, and waits until an order is served.
-    async fn settle(&self) {
+    /// Applies the first configuration and waits until every entry serves lookups.
+    async fn configure_and_wait(&self) {
         assert!(self.operator.configure(1, Duration::from_secs(30)).await);
         self.acknowledged.fetch_max(1, Ordering::SeqCst);
         self.wait_served(RECOVERY_BOUND, "at the start").await;
     }
 
+    /// Waits until every entry has answered a lookup with 200. Panics after `limit`.
     async fn wait_served(&self, limit: Duration, when: &str) {
         let caller = SiteCaller { patience: Duration::from_millis(1_500) };
         let started = Instant::now();
         for (number, entry) in self.entries.iter().enumerate() {
             loop {
-                let id = format!("settle-{number}-{}", started.elapsed().as_micros());
+                let id = format!("wait-{number}-{}", started.elapsed().as_micros());
                 let end = caller.send(*entry, CallKind::Lookup, &id).await;
                 if matches!(end, CallEnd::Answered { status: 200, .. }) {
                     break;
@@ -210,21 +214,22 @@
         }
     }
 
-    /// Starts callers, an operator who changes the configuration, and a reader of it.
+    /// Starts callers, an operator that changes the configuration, and a reader that checks for stale
+    /// versions.
     fn start_traffic(
         &self,
         seed: u64,
-        is_over: &Arc<AtomicBool>,
+        is_finished: &Arc<AtomicBool>,
     ) -> Vec<tokio::task::JoinHandle<()>> {
         let mut tasks = Vec::new();
         for number in 0..6 {
             let (calls, entries) = (self.calls.clone(), self.entries.clone());
-            let is_over = is_over.clone();
+            let is_finished = is_finished.clone();
             let mut rng = StdRng::seed_from_u64(seed * 100 + number);
             tasks.push(tokio::spawn(async move {
                 let caller = SiteCaller { patience: Duration::from_millis(1_200) };
                 for count in 0.. {
-                    if is_over.load(Ordering::SeqCst) {
+                    if is_finished.load(Ordering::SeqCst) {
                         return;
                     }
                     let kind =
@@ -238,10 +243,10 @@
             }));
         }
         let (operator, acknowledged) = (self.operator.clone(), self.acknowledged.clone());
-        let over = is_over.clone();
+        let finished = is_finished.clone();
         tasks.push(tokio::spawn(async move {
             for version in 2.. {
-                if over.load(Ordering::SeqCst) {
+                if finished.load(Ordering::SeqCst) {
                     return;
                 }
                 if operator.configure(version, Duration::from_secs(20)).await {
@@ -251,14 +256,14 @@
             }
         }));
         let (operator, acknowledged) = (self.operator.clone(), self.acknowledged.clone());
-        let over = is_over.clone();
+        let finished = is_finished.clone();
         tasks.push(tokio::spawn(async move {
-            while !over.load(Ordering::SeqCst) {
+            while !finished.load(Ordering::SeqCst) {
                 let least = acknowledged.load(Ordering::SeqCst);
                 sleep(READ_BOUND).await;
                 for replica in 0..REPLICAS {
                     if let Some(version) = operator.version(replica).await {
-                        assert_eq!(broken_read(version, least), None);
+                        assert_eq!(stale_read(version, least), None);
                     }
                 }
             }
@@ -266,56 +271,57 @@
         tasks
     }
 
-    /// Does one thing to the system, drawn from the seed.
-    async fn harm(&mut self, rng: &mut StdRng) -> io::Result<String> {
-        let member = rng.random_range(0..self.members.len());
+    /// Injects one fault drawn from `rng` and removes it again. Returns its description.
+    async fn inject_fault(&mut self, rng: &mut StdRng) -> io::Result<String> {
+        let index = rng.random_range(0..self.processes.len());
         let server = rng.random_range(0..SERVERS);
         let proxy = &self.servers[server].1;
-        let mut heal = None;
+        let mut faulty_server = None;
         let text = match rng.random_range(0..12) {
             10 => {
                 let torn: Vec<u8> = (0..rng.random_range(1..40)).map(|_| rng.random()).collect();
-                let replica = &mut self.members[rng.random_range(0..REPLICAS)];
-                replica.kill_in_mid_write(&torn)?;
+                let replica = &mut self.processes[rng.random_range(0..REPLICAS)];
+                replica.kill_with_torn_record(&torn)?;
                 replica.start()?;
                 format!("tear the log of {}", replica.boot.node)
             }
             11 => {
-                for member in &mut self.members {
-                    member.kill()?;
+                for process in &mut self.processes {
+                    process.kill()?;
                 }
-                for member in &mut self.members {
-                    member.start()?;
+                for process in &mut self.processes {
+                    process.start()?;
                 }
                 "kill all".to_owned()
             }
             0 | 1 => {
-                self.members[member].kill()?;
+                self.processes[index].kill()?;
                 sleep(Duration::from_millis(rng.random_range(0..600))).await;
-                self.members[member].start()?;
-                format!("kill {}", self.members[member].boot.node)
+                self.processes[index].start()?;
+                format!("kill {}", self.processes[index].boot.node)
             }
             2 => {
-                self.members[member].signal("STOP")?;
-                self.members[member].is_paused = true;
+                self.processes[index].signal("STOP")?;
+                self.processes[index].is_paused = true;
                 sleep(Duration::from_millis(rng.random_range(200..2_500))).await;
-                self.members[member].resume()?;
-                format!("pause {}", self.members[member].boot.node)
+                self.processes[index].resume()?;
+                format!("pause {}", self.processes[index].boot.node)
             }
             3 => {
-                let entry = rng.random_range(REPLICAS..self.members.len());
-                self.members[entry].stop()?;
-                self.members[entry].start()?;
-                format!("stop {}", self.members[entry].boot.node)
+                let entry = rng.random_range(REPLICAS..self.processes.len());
+                self.processes[entry].stop()?;
+                self.processes[entry].start()?;
+                format!("stop {}", self.processes[entry].boot.node)
             }
             4 => {
-                let replica = &mut self.members[rng.random_range(0..REPLICAS)];
+                let replica = &mut self.processes[rng.random_range(0..REPLICAS)];
                 replica.kill()?;
                 if let Some(folder) = &replica.boot.data_folder {
                     std::fs::remove_dir_all(folder)?;
                 }
                 replica.start()?;
-                // Until it is a voter again, another lost disk would be one more than is borne.
+                // Until the replica is a voter again, the loss of another disk would exceed the one
+                // that the system tolerates.
                 sleep(Duration::from_secs(4)).await;
                 format!("wipe {}", replica.boot.node)
             }
@@ -323,7 +329,7 @@
                 let modes = [ServerMode::BreaksOff, ServerMode::Sheds];
                 let mode = *modes.choose(rng).expect("not empty");
                 self.servers[server].0.set_mode(mode);
-                heal = Some(server);
+                faulty_server = Some(server);
                 format!("{mode:?} server-{server}")
             }
             _ => {
@@ -336,19 +342,19 @@
                 ];
                 let fault = *faults.choose(rng).expect("not empty");
                 proxy.set(fault);
-                heal = Some(server);
+                faulty_server = Some(server);
                 format!("{fault:?} server-{server}")
             }
         };
         sleep(Duration::from_millis(rng.random_range(50..800))).await;
-        if let Some(server) = heal {
+        if let Some(server) = faulty_server {
             self.servers[server].0.set_mode(ServerMode::Sound);
             self.servers[server].1.set(ProxyFault::None);
         }
         Ok(text)
     }
 
-    /// Checks what holds at any time.
+    /// Checks the invariants that hold at any time.
     fn verify(&self) {
         let mut runs: HashMap<String, Vec<(usize, Instant)>> = HashMap::new();
         for (number, (server, _)) in self.servers.iter().enumerate() {
@@ -357,39 +363,39 @@
             }
         }
         let calls = self.calls.lock().expect("not poisoned").clone();
-        let history = SeenHistory { calls, runs, departures: self.departures.clone() };
-        let broken = history.broken_promises(DRAIN_BOUND);
-        assert!(broken.is_empty(), "{broken:#?}");
+        let history = ObservedHistory { calls, runs, departures: self.departures.clone() };
+        let violations = history.violations(DRAIN_BOUND);
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
-async fn soak(seed: u64, fault_time: Duration) {
+async fn run_soak(seed: u64, fault_time: Duration) {
     let folder = tempfile::tempdir().expect("a folder");
-    let entry_count = number_of("SOAK_ENTRIES").unwrap_or(CI_ENTRIES);
-    let mut site = SoakSite::start(folder.path(), seed, entry_count).await.expect("started");
-    site.settle().await;
-    let is_over = Arc::new(AtomicBool::new(false));
-    let traffic = site.start_traffic(seed, &is_over);
+    let entry_count = number_from_environment("SOAK_ENTRIES").unwrap_or(CI_ENTRIES);
+    let mut system = SoakSystem::start(folder.path(), seed, entry_count).await.expect("started");
+    system.configure_and_wait().await;
+    let is_finished = Arc::new(AtomicBool::new(false));
+    let traffic = system.start_traffic(seed, &is_finished);
     let mut rng = StdRng::seed_from_u64(seed);
     let started = Instant::now();
     while started.elapsed() < fault_time {
-        let text = site.harm(&mut rng).await.expect("the fault is brought about");
+        let text = system.inject_fault(&mut rng).await.expect("the fault is injected");
         println!("seed {seed}, {:.1} s: {text}", started.elapsed().as_secs_f64());
-        site.verify();
+        system.verify();
     }
-    site.wait_served(RECOVERY_BOUND, "after the faults").await;
-    // A server leaves while nothing is wrong: the bound then holds without exception.
-    let (server, _) = site.servers[0].clone();
-    let acknowledged = server.leave(&site.operator, Duration::from_secs(10)).await;
+    system.wait_served(RECOVERY_BOUND, "after the faults").await;
+    // A server leaves after all faults have ended, when the drain bound holds without exception.
+    let (server, _) = system.servers[0].clone();
+    let acknowledged = server.leave(&system.operator, Duration::from_secs(10)).await;
     let acknowledged = acknowledged.expect("leaving is acknowledged");
-    site.departures.push(Departure { server: 0, acknowledged });
+    system.departures.push(ServerDeparture { server: 0, acknowledged });
     sleep(DRAIN_BOUND + Duration::from_secs(1)).await;
-    is_over.store(true, Ordering::SeqCst);
+    is_finished.store(true, Ordering::SeqCst);
     for task in traffic {
-        task.await.expect("no promise was broken");
+        task.await.expect("no invariant was violated");
     }
-    site.verify();
-    let calls = site.calls.lock().expect("not poisoned");
+    system.verify();
+    let calls = system.calls.lock().expect("not poisoned");
     let is_served = |call: &&CallRecord| matches!(call.end, CallEnd::Answered { status: 200, .. });
     let served = calls.values().filter(is_served).count();
     println!("seed {seed}: {served} of {} calls served", calls.len());
@@ -397,20 +403,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_hold_under_random_faults() {
+async fn invariants_hold_under_random_faults() {
     let seeds: Vec<u64> = match std::env::var("SOAK_SEEDS") {
         Ok(text) => text.split(',').map(|seed| seed.parse().expect("a seed")).collect(),
         Err(_) => CI_SEEDS.into(),
     };
-    let seconds = number_of("SOAK_SECONDS").map(|seconds| Duration::from_secs(seconds as u64));
+    let seconds =
+        number_from_environment("SOAK_SECONDS").map(|seconds| Duration::from_secs(seconds as u64));
     let fault_time = seconds.unwrap_or(CI_FAULT_TIME);
     for seed in seeds {
-        soak(seed, fault_time).await;
+        run_soak(seed, fault_time).await;
     }
 }
 
-/// Returns the number that a variable of the environment holds.
-fn number_of(variable: &str) -> Option<usize> {
+/// Returns the number in an environment variable, `None` if it is not set.
+fn number_from_environment(variable: &str) -> Option<usize> {
     let text = std::env::var(variable).ok()?;
-    Some(text.parse().unwrap_or_else(|_| panic!("{variable}: {text:?} is no number")))
+    Some(text.parse().unwrap_or_else(|_| panic!("{variable}: {text:?} is not a number")))
 }
