--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -193,8 +193,8 @@
     system.wait_served(0, "book").await;
     let key = new_key();
     assert_eq!(system.registry(0, &key, "x").await.expect("answers").status, 200);
-    // Two of three replicas are killed, and one of these restarts with an empty disk. The replicas
-    // that run are a quorum, but not one that knows the claim.
+    // Two of three replicas are killed, and one of these loses its disk and restarts, so no running
+    // quorum knows the claim.
     let leader = system.leader().await;
     let (other, wiped) = ((leader + 1) % 3, (leader + 2) % 3);
     system.group.kill(leader).expect("killed");
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -116,6 +116,8 @@
     }
 }
 
+/// A cold server that gets its initial limit of requests from each entry gets several times that
+/// limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_together_do_not_overload_cold_servers() {
     let system = System::start(PROGRAM, 3, 3).await;
@@ -179,6 +181,8 @@
 /// Length of the sliding window in which probes are counted.
 const PROBE_WINDOW: Duration = Duration::from_secs(5);
 
+/// A new owner does not know the probes that the old one sent, and the old one may still probe for a
+/// while, so both together could exceed the budget.
 #[tokio::test(flavor = "multi_thread")]
 async fn probes_stay_within_the_budget_while_owners_change() {
     let mut system = System::start(PROGRAM, 3, 4).await;
@@ -216,7 +220,7 @@
             let after = in_window.map(|(_, count)| *count).max().unwrap_or(*before);
             assert!(after - before <= allowed, "{}: {}", server.name(), after - before);
         }
-        assert!(server.stats().probes > 4, "{} got too few probes", server.name());
+        assert!(server.stats().probes > 4, "{} was probed at most 4 times", server.name());
     }
 }
 
@@ -256,6 +260,8 @@
     }
 }
 
+/// A stopping entry must serve until callers no longer use the directory answers that name it;
+/// otherwise each restart of a host fails requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rolling_restart_cuts_off_and_loses_no_request() {
     let mut system = System::start(PROGRAM, 3, 3).await;
