--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -85,9 +85,11 @@
         Ok(Err(ExchangeError::NotSent(reason))) => AttemptResult::NotRun(reason),
         Ok(Err(ExchangeError::MaybeSent(reason))) => AttemptResult::Unknown(reason),
         Ok(Ok(answer)) => {
-            let is_kept = answer.is_kept;
+            let is_keep_alive = answer.is_keep_alive;
             let result = classify_answer(request, answer, dialect);
-            if is_kept && matches!(result, AttemptResult::Answered(_) | AttemptResult::Failed(_)) {
+            if is_keep_alive
+                && matches!(result, AttemptResult::Answered(_) | AttemptResult::Failed(_))
+            {
                 server.put_connection(connection);
             }
             result
--- a/crates/gateway/src/placer.rs
+++ b/crates/gateway/src/placer.rs
@@ -27,18 +27,19 @@
 const PROBE_GROUP_SIZE: usize = 3;
 /// Maximum number of servers that are probed in one search.
 const MAX_PROBES: usize = 9;
-/// Timeout of a probe, including connection setup. Servers respond to probes immediately; the loss
-/// of a single packet costs more than this.
+/// Timeout of the first probe of a server in a search, including connection setup. Servers respond
+/// to probes immediately; a single lost packet delays a response by more than this.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(120);
-/// Time after which the next group is probed even if the previous one has not responded. Responses
-/// to probes take up to 10 ms, including connection setup.
+/// Time after which the next group is probed even if the previous one has not responded, and the
+/// timeout of a repeated probe of a server. Responses to probes take up to 10 ms, including
+/// connection setup.
 const GROUP_TIMEOUT: Duration = Duration::from_millis(25);
 /// Maximum age of a load report that a placement uses. Load changes within milliseconds.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(15);
 
 /// Number of servers of a service that an entry prefers, counted separately inside and outside of
-/// its failure domain. Enough to find one with free capacity, and few enough to keep connections
-/// to.
+/// its failure domain. A larger number makes it more likely that one has free capacity, but takes
+/// more open connections.
 const PREFERRED_SERVERS: usize = 12;
 /// Failure share above which a server is probed after others.
 const MAX_FAILURE_SHARE: f64 = 0.3;
@@ -48,13 +49,13 @@
 struct ServerRank {
     /// The server is in backoff after failed probes.
     is_backing_off: bool,
-    /// The server is cold and left to other entries for now: this entry is not among its owners, or
-    /// has used up its share of the rate.
-    is_cold: bool,
+    /// The server is cold and may not receive a request from this entry now: the entry is not among
+    /// the server's owners, or has used up its share of the server's rate.
+    is_cold_unavailable: bool,
     /// The server failed more than [`MAX_FAILURE_SHARE`] of this entry's recent requests.
     is_failing: bool,
-    /// The server was full a moment ago.
-    is_full: bool,
+    /// The server has recently reported that it is full.
+    is_recently_full: bool,
     /// The server is in another failure domain.
     is_remote: bool,
     /// The server is not among this entry's [`PREFERRED_SERVERS`].
@@ -77,7 +78,8 @@
     NoServers,
     /// No server responded to a probe.
     NoneAnswered,
-    /// All servers that responded are full, or cold without capacity left for this entry.
+    /// All servers that responded lack free capacity for the request, or are cold and may not
+    /// receive it from this entry now.
     Full,
 }
 
@@ -100,7 +102,7 @@
 }
 
 impl ServerPlacer {
-    /// Returns a server for a request, and the number of servers that were probed.
+    /// Finds a server for a request. Returns it with the number of servers that were probed.
     ///
     /// Servers are probed in groups. The next group follows when the previous one has responded, or
     /// after [`GROUP_TIMEOUT`]. A server that is good enough ends the search.
@@ -108,7 +110,7 @@
         &self,
         request: &PlaceRequest<'_>,
     ) -> Result<(ProbedServer, usize), PlaceError> {
-        let mut groups = self.groups(request)?.into_iter();
+        let mut groups = self.probe_groups(request)?.into_iter();
         let mut search = PlaceSearch::default();
         loop {
             let Some(group) = groups.next() else {
@@ -225,8 +227,8 @@
     }
 
     /// Returns the servers to probe, in groups and in the order of [`ServerRank`]. A group does not
-    /// mix servers of the own failure domain with others.
-    fn groups(
+    /// mix servers of the entry's failure domain with others.
+    fn probe_groups(
         &self,
         request: &PlaceRequest<'_>,
     ) -> Result<Vec<SmallVec<[Arc<BackendServer>; 4]>>, PlaceError> {
@@ -240,9 +242,10 @@
             *count += 1;
             let rank = ServerRank {
                 is_backing_off: server.is_backing_off(now),
-                is_cold: server.is_known_cold(now) && !self.may_use_cold(server, request),
+                is_cold_unavailable: server.is_known_cold(now)
+                    && !self.may_use_cold(server, request),
                 is_failing: server.failure_share(now) > MAX_FAILURE_SHARE,
-                is_full: server.is_recently_full(now),
+                is_recently_full: server.is_recently_full(now),
                 is_remote,
                 is_not_preferred: *count > PREFERRED_SERVERS,
             };
@@ -253,10 +256,12 @@
         }
         ranked.shuffle(&mut rand::rng());
         ranked.sort_by_key(|(rank, _)| *rank);
-        let usable =
-            ranked.iter().filter(|(rank, _)| !rank.is_backing_off && !rank.is_cold).count();
-        // Servers that are in backoff, or cold and left to other entries, are probed only if there
-        // are fewer than PROBE_GROUP_SIZE others.
+        let usable = ranked
+            .iter()
+            .filter(|(rank, _)| !rank.is_backing_off && !rank.is_cold_unavailable)
+            .count();
+        // Servers in backoff and cold servers that this entry may not use now are probed only if
+        // there are fewer than PROBE_GROUP_SIZE others.
         ranked.truncate(usable.clamp(PROBE_GROUP_SIZE, MAX_PROBES));
         let eligible = ranked.into_iter().map(|(_, server)| server);
         let mut groups: Vec<SmallVec<[Arc<BackendServer>; 4]>> = Vec::new();
@@ -310,8 +315,8 @@
 }
 
 impl PlaceSearch {
-    /// Returns all connections to the idle pools. Those of probes in flight follow when the probes
-    /// end.
+    /// Puts all connections back into the idle pools; those of probes in flight are put back when
+    /// the probes end.
     fn release(mut self) {
         self.answered.into_iter().for_each(release);
         tokio::spawn(async move {
@@ -324,7 +329,7 @@
     }
 }
 
-/// Returns the connection of a server that was not chosen to its idle pool.
+/// Puts the connection of a server that was not chosen back into its idle pool.
 fn release(probed: ProbedServer) {
     probed.server.put_connection(probed.connection);
 }
@@ -375,8 +380,9 @@
             .ok()?;
         let answer = connection.exchange(request, &self.memory).await.ok()?;
         let metadata = self.dialect.answer_metadata(&answer.headers);
-        // Ignores responses of another server and late responses to an earlier request.
-        if !answer.is_kept || metadata.server.as_deref() != Some(self.server.name.as_str()) {
+        // Ignores a response from another server or without a server name, and one after which the
+        // connection closes, as the request would be sent on that connection.
+        if !answer.is_keep_alive || metadata.server.as_deref() != Some(self.server.name.as_str()) {
             return None;
         }
         let warm_up_left = metadata.warm_up_left.unwrap_or_default();
--- a/crates/gateway/src/server_connection.rs
+++ b/crates/gateway/src/server_connection.rs
@@ -42,7 +42,7 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     /// Whether the server keeps the connection open after the response.
-    pub(crate) is_kept: bool,
+    pub(crate) is_keep_alive: bool,
 }
 
 /// A connection to a server. Dropping it closes it, which cancels a request in flight.
@@ -50,7 +50,7 @@
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
     keep_alive: Duration,
-    used: Instant,
+    last_used: Instant,
 }
 
 impl Drop for ServerConnection {
@@ -60,10 +60,13 @@
 }
 
 impl ServerConnection {
-    /// Opens a connection. The TCP connect must succeed within `limit`.
-    pub(crate) async fn open(address: SocketAddr, limit: Duration) -> Result<Self, ExchangeError> {
+    /// Opens a connection. `connect_timeout` limits the time for the TCP connect.
+    pub(crate) async fn open(
+        address: SocketAddr,
+        connect_timeout: Duration,
+    ) -> Result<Self, ExchangeError> {
         let not_sent = |reason: String| ExchangeError::NotSent(reason);
-        let stream = timeout(limit, TcpStream::connect(address))
+        let stream = timeout(connect_timeout, TcpStream::connect(address))
             .await
             .map_err(|_| not_sent("connect timed out".to_owned()))?
             .map_err(|error| not_sent(error.to_string()))?;
@@ -76,13 +79,13 @@
             .map_err(|error| not_sent(error.to_string()))?;
         // Errors of the connection are reported by the request in flight.
         let driver = tokio::spawn(async move { drop(connection.await) }).abort_handle();
-        Ok(Self { sender, driver, keep_alive: DEFAULT_KEEP_ALIVE, used: Instant::now() })
+        Ok(Self { sender, driver, keep_alive: DEFAULT_KEEP_ALIVE, last_used: Instant::now() })
     }
 
     /// Returns whether the idle connection may be reused. A probe is always sent on it before a
     /// request, so that a close by the server makes a probe fail and not a request.
     pub(crate) fn is_usable(&self, now: Instant) -> bool {
-        let idle = now.saturating_duration_since(self.used);
+        let idle = now.saturating_duration_since(self.last_used);
         !self.sender.is_closed() && idle < self.keep_alive.mul_f64(KEEP_ALIVE_SHARE)
     }
 
@@ -111,12 +114,12 @@
         let (body, _reservation) = read_body(body, MAX_ANSWER_BYTES, memory)
             .await
             .map_err(|error| ExchangeError::MaybeSent(error.to_string()))?;
-        self.used = Instant::now();
+        self.last_used = Instant::now();
         if let Some(keep_alive) = stated_keep_alive(&parts.headers) {
             self.keep_alive = keep_alive;
         }
-        let is_kept = !has_close(&parts.headers) && !self.sender.is_closed();
-        Ok(ServerAnswer { status: parts.status, headers: parts.headers, body, is_kept })
+        let is_keep_alive = !has_close(&parts.headers) && !self.sender.is_closed();
+        Ok(ServerAnswer { status: parts.status, headers: parts.headers, body, is_keep_alive })
     }
 }
 
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -26,7 +26,7 @@
 /// Maximum number of times that the backoff doubles, so that it cannot overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 /// Time for which a server is probed after others once it has reported that it is full. Requests
-/// hold a slot for longer than this.
+/// hold a slot for longer than this, so that the server is probably still full.
 const FULL_REPORT_TTL: Duration = Duration::from_millis(40);
 /// Weight of the latest outcome in the moving average of failures.
 const OUTCOME_WEIGHT: f64 = 0.4;
@@ -38,12 +38,12 @@
 struct TrackedState {
     idle: SmallVec<[ServerConnection; 2]>,
     backoff_until: Option<Instant>,
-    missed_probes: u32,
+    failed_probes: u32,
     full_at: Option<Instant>,
     cold_until: Option<Instant>,
     failure_share: f64,
     failure_updated: Option<Instant>,
-    cold: ColdAllowance,
+    cold_allowance: ColdAllowance,
 }
 
 /// One incarnation of a backend server.
@@ -68,14 +68,15 @@
         }
     }
 
-    /// Takes the most recently used idle connection.
+    /// Takes the most recently used idle connection, and closes those that are not usable.
     pub(crate) fn take_connection(&self, now: Instant) -> Option<ServerConnection> {
         let mut state = self.state.lock();
         state.idle.retain(|connection| connection.is_usable(now));
         state.idle.pop()
     }
 
-    /// Returns a connection that is ready for another request to the pool of idle connections.
+    /// Puts a connection that is ready for another request into the pool of idle connections. A full
+    /// pool closes its least recently used connection.
     pub(crate) fn put_connection(&self, connection: ServerConnection) {
         let mut state = self.state.lock();
         if state.idle.len() >= MAX_IDLE_CONNECTIONS {
@@ -93,12 +94,12 @@
     pub(crate) fn record_probe(&self, now: Instant, has_answered: bool) {
         let mut state = self.state.lock();
         if has_answered {
-            (state.backoff_until, state.missed_probes) = (None, 0);
+            (state.backoff_until, state.failed_probes) = (None, 0);
             return;
         }
-        let backoff = (INITIAL_BACKOFF * 2_u32.pow(state.missed_probes.min(MAX_BACKOFF_DOUBLINGS)))
+        let backoff = (INITIAL_BACKOFF * 2_u32.pow(state.failed_probes.min(MAX_BACKOFF_DOUBLINGS)))
             .min(MAX_BACKOFF);
-        state.missed_probes += 1;
+        state.failed_probes += 1;
         state.backoff_until = Some(now + backoff);
     }
 
@@ -139,13 +140,13 @@
 
     /// Returns whether this entry's share of the cold server's rate permits a request now.
     pub(crate) fn has_cold_capacity(&self, now: Instant) -> bool {
-        self.state.lock().cold.has_capacity(now)
+        self.state.lock().cold_allowance.has_capacity(now)
     }
 
     /// Takes one request from this entry's share of the cold server's rate, in requests per 1000 s.
     /// Returns whether the share permits it.
     pub(crate) fn take_cold_request(&self, now: Instant, rate_milli: u32) -> bool {
-        self.state.lock().cold.take(now, rate_milli)
+        self.state.lock().cold_allowance.take(now, rate_milli)
     }
 }
 
