--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -30,7 +30,7 @@
     pub(crate) request: PreparedRequest,
     pub(crate) arrived: Instant,
     /// Estimated time that the caller has spent on earlier attempts.
-    pub(crate) waited: Duration,
+    pub(crate) earlier_attempts_time: Duration,
     pub(crate) view: Arc<ClusterView>,
     pub(crate) attempt_log: Mutex<AttemptLog>,
 }
@@ -38,18 +38,19 @@
 impl ForwardedCall {
     /// Returns when the target latency has elapsed since the caller's first attempt.
     pub(crate) fn target_deadline(&self) -> Instant {
-        self.arrived + self.route.target().saturating_sub(self.waited)
+        self.arrived + self.route.target().saturating_sub(self.earlier_attempts_time)
     }
 
-    /// Returns the latest time at which the work can start and still meet the target latency.
-    pub(crate) fn latest_start(&self, usual_work: Duration) -> Instant {
-        let reachable = PlacementNeed::reachable_target(usual_work, self.route.target());
-        self.arrived + reachable.saturating_sub(self.waited) - usual_work
+    /// Returns the latest time at which a server can start the request and still meet the target
+    /// latency, which is extended to [`PlacementNeed::reachable_target`] if it is too short.
+    pub(crate) fn latest_start(&self, service_time: Duration) -> Instant {
+        let reachable = PlacementNeed::reachable_target(service_time, self.route.target());
+        self.arrived + reachable.saturating_sub(self.earlier_attempts_time) - service_time
     }
 
-    /// Returns the queue rank of the request, given the usual duration of its work.
-    pub(crate) fn rank(&self, now: Instant, usual_work: Duration) -> WaitRank {
-        let is_late = now >= self.latest_start(usual_work);
+    /// Returns the queue rank of the request, given the usual service time.
+    pub(crate) fn rank(&self, now: Instant, service_time: Duration) -> WaitRank {
+        let is_late = now >= self.latest_start(service_time);
         WaitRank { is_late, priority: self.route.priority, arrived: self.arrived }
     }
 
@@ -57,10 +58,10 @@
     pub(crate) fn next_rank_change(
         &self,
         now: Instant,
-        usual_work: Duration,
+        service_time: Duration,
         end: Instant,
     ) -> Instant {
-        let latest_start = self.latest_start(usual_work);
+        let latest_start = self.latest_start(service_time);
         if latest_start > now { latest_start.min(end) } else { end }
     }
 
@@ -73,9 +74,11 @@
 /// A record of the attempts and probes for one request.
 #[derive(Default)]
 pub(crate) struct AttemptLog {
+    /// The server of each attempt, in the order of the attempts.
     pub(crate) tried: SmallVec<[ServerName; 2]>,
     /// Text for the log, one item for each attempt.
     pub(crate) summary: String,
+    /// Number of servers that were probed in searches that found a server; others are not counted.
     pub(crate) probe_count: usize,
     pub(crate) may_have_run: bool,
     /// Whether the server of the last attempt had a free slot when it was probed.
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -5,7 +5,7 @@
     body::{BodyError, MemoryReservation},
     call::CallerRequest,
     forwarder::RequestForwarder,
-    http1::{BodyDecoder, CONTINUE_LINE, HeadError, RequestHead, encode_answer, parse_head},
+    http1::{BodyDecoder, CONTINUE_RESPONSE, HeadError, RequestHead, encode_answer, parse_head},
     listener::StopStage,
 };
 use bytes::{Bytes, BytesMut};
@@ -246,7 +246,7 @@
             }
         };
         if head.expects_continue && self.buffer.is_empty() && self.running.is_empty() {
-            self.stream.write_all(CONTINUE_LINE).await?;
+            self.stream.write_all(CONTINUE_RESPONSE).await?;
         }
         let reservation = MemoryReservation::new(&self.forwarder.memory);
         self.partial = Some(PartialRequest { head, body, reservation });
--- a/crates/gateway/src/final_answer.rs
+++ b/crates/gateway/src/final_answer.rs
@@ -7,20 +7,20 @@
 use policy::{CapacityForecast, retry_delay};
 use std::time::Duration;
 
-/// Builds the caller's response from the result of the attempts. Also returns the name of the
-/// outcome in logs and counters.
+/// Builds the caller's response from the result of the attempts. Also returns the outcome's name in
+/// logs and counters.
 pub(crate) fn final_answer(
     call: &ForwardedCall,
     result: Result<AttemptResult, PlaceError>,
-    usual_work: Duration,
+    service_time: Duration,
     dialect: &dyn WireDialect,
 ) -> (GatewayAnswer, &'static str) {
     let (may_have_run, had_free_slot) = {
         let attempt_log = call.attempt_log.lock();
         (attempt_log.may_have_run, attempt_log.had_free_slot)
     };
-    let until_slot = CapacityForecast::After(usual_work);
-    let wait = |outlook| retry_delay(outlook, rand::random());
+    let until_slot = CapacityForecast::After(service_time);
+    let retry_after = |forecast| retry_delay(forecast, rand::random());
     match result {
         Ok(AttemptResult::Answered(answer)) => {
             (replace_refusal_status(answer, dialect), "answered")
@@ -29,8 +29,11 @@
             (replace_refusal_status(answer, dialect), "server-failed")
         }
         Ok(AttemptResult::NotRun(reason)) if !may_have_run => {
-            let outlook = if had_free_slot { CapacityForecast::Now } else { until_slot };
-            (GatewayAnswer::refused(&format!("not run: {reason}"), wait(outlook)), "not-run")
+            let forecast = if had_free_slot { CapacityForecast::Now } else { until_slot };
+            (
+                GatewayAnswer::refused(&format!("not run: {reason}"), retry_after(forecast)),
+                "not-run",
+            )
         }
         Ok(AttemptResult::NotRun(reason) | AttemptResult::Unknown(reason)) => {
             let reason = format!("it is not known whether the request ran: {reason}");
@@ -46,7 +49,7 @@
                 PlaceError::NoneAnswered => ("no server answers", "none-answered"),
                 PlaceError::Full => ("all servers are full", "full"),
             };
-            (GatewayAnswer::refused(reason, wait(until_slot)), outcome)
+            (GatewayAnswer::refused(reason, retry_after(until_slot)), outcome)
         }
     }
 }
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -33,20 +33,23 @@
 };
 use types::{CallerLimits, ClusterView, RouteSpec, ServiceName};
 
-/// Typical time from the start of an entry until it has routes.
-const NO_ROUTES_WAIT: Duration = Duration::from_millis(250);
-/// Maximum number of routes for which callers' timeouts are tracked; beyond it, all are forgotten.
+/// Base of the retry time that callers get while the entry has no routes: the typical time from the
+/// start of an entry until it has routes.
+const NO_ROUTES_RETRY_BASE: Duration = Duration::from_millis(250);
+/// Maximum number of routes for which callers' timeouts are tracked. Above it, the timeouts of all
+/// routes are discarded.
 const MAX_TIMEOUT_ROUTES: usize = 4_096;
-/// Fraction of the target latency after which an idempotent request is hedged.
+/// Fraction of the target latency, from the start of an attempt, after which an idempotent request
+/// is hedged.
 const HEDGE_SHARE: f64 = 0.6;
-/// Initial estimate of a service's work time, as a fraction of the target latency.
-const INITIAL_WORK_SHARE: f64 = 0.4;
+/// Initial estimate of the service time, as a fraction of the route's target latency.
+const INITIAL_SERVICE_TIME_SHARE: f64 = 0.4;
 
 /// The state that an entry keeps for one service.
 #[derive(Default)]
 pub(crate) struct ServiceState {
     budget: SharedBudget,
-    pub(crate) usual_work: Option<ServiceTime>,
+    pub(crate) service_time: Option<ServiceTime>,
     pub(crate) queue: Arc<ServiceQueue>,
 }
 
@@ -155,9 +158,18 @@
             PreparedRequest { id, method, target, headers, body, caller_deadline, deadline };
         let view = self.view.read().clone();
         let is_idempotent = route.is_idempotent;
-        let waited = self.record_caller_timeout(&route, arrived, metadata.time_allowed);
+        let earlier_attempts_time =
+            self.record_caller_timeout(&route, arrived, metadata.time_allowed);
         let attempt_log = Mutex::default();
-        let call = ForwardedCall { route, pool, request, arrived, waited, view, attempt_log };
+        let call = ForwardedCall {
+            route,
+            pool,
+            request,
+            arrived,
+            earlier_attempts_time,
+            view,
+            attempt_log,
+        };
         self.with_service(&call.pool.service, |state| {
             state.budget.record_request(arrived, &self.budget);
         });
@@ -197,7 +209,7 @@
     /// Runs the attempts for a request, then records and logs the result.
     async fn serve(&self, call: &ForwardedCall) -> GatewayAnswer {
         let result = self.run_attempts(call).await;
-        let (answer, outcome) = final_answer(call, result, self.usual_work(call), &*self.dialect);
+        let (answer, outcome) = final_answer(call, result, self.service_time(call), &*self.dialect);
         let elapsed = call.arrived.elapsed();
         self.metrics.requests.count(outcome);
         self.metrics.latency.observe(elapsed.as_secs_f64());
@@ -208,7 +220,8 @@
             "view" => call.view.version.0, "routing" => call.view.routing_version().0,
             "asked" => attempt_log.probe_count, "attempts" => attempt_log.summary.as_str(),
             "status" => answer.status.as_u16(), "outcome" => outcome,
-            "waited_ms" => call.waited.as_millis() as u64, "ms" => elapsed.as_millis() as u64,
+            "waited_ms" => call.earlier_attempts_time.as_millis() as u64,
+            "ms" => elapsed.as_millis() as u64,
             "left_ms" => (call.request.caller_deadline - Instant::now()).as_millis() as u64,
             "retry_after_ms" => answer.retry_after.map(|wait| wait.as_millis() as u64));
         answer
@@ -219,7 +232,7 @@
     async fn run_attempts(&self, call: &ForwardedCall) -> Result<AttemptResult, PlaceError> {
         let mut last: Option<AttemptResult> = None;
         while call.may_add_attempt() {
-            if last.is_some() && !self.may_retry(call, last.as_ref()) {
+            if last.is_some() && !self.take_retry(call, last.as_ref()) {
                 break;
             }
             let placed = self.find_server(call).await;
@@ -236,20 +249,21 @@
         last.ok_or(PlaceError::NoServers)
     }
 
-    /// Returns whether a request may be sent again after `last`, and takes the retry from the
-    /// budget.
-    fn may_retry(&self, call: &ForwardedCall, last: Option<&AttemptResult>) -> bool {
+    /// Takes a retry from the budget if the request may be sent again after `last`. Returns whether
+    /// a retry was taken.
+    fn take_retry(&self, call: &ForwardedCall, last: Option<&AttemptResult>) -> bool {
         let now = Instant::now();
         let is_safe = match last {
             Some(AttemptResult::NotRun(_)) | None => true,
             Some(AttemptResult::Failed(_) | AttemptResult::Unknown(_)) => call.route.is_idempotent,
             Some(AttemptResult::Answered(_) | AttemptResult::TimedOut) => false,
         };
-        is_safe && now < call.request.deadline && self.take_retry(call, now)
+        is_safe && now < call.request.deadline && self.take_from_budget(call, now)
     }
 
-    /// Takes one retry or hedge from this entry's share of the service's retry budget.
-    fn take_retry(&self, call: &ForwardedCall, now: Instant) -> bool {
+    /// Takes one retry or hedge from this entry's share of the service's retry budget. Returns whether
+    /// the budget allowed it.
+    fn take_from_budget(&self, call: &ForwardedCall, now: Instant) -> bool {
         let entries = call.view.entries().filter(|entry| entry.serving).count();
         let is_granted = self.with_service(&call.pool.service, |state| {
             state.budget.take(now, &self.budget, entries)
@@ -259,8 +273,8 @@
     }
 
     /// Runs one attempt. If it takes long and the request is idempotent, hedges it with a second
-    /// attempt at another server. The attempt that loses is dropped, which cancels it at its
-    /// server.
+    /// attempt at another server. When one of them is answered, the other is dropped, which
+    /// cancels it at its server.
     async fn run_hedged(&self, call: &ForwardedCall, probed: ProbedServer) -> AttemptResult {
         let first = pin!(self.try_server(call, probed));
         if !call.route.is_idempotent {
@@ -274,7 +288,7 @@
         };
         let now = Instant::now();
         let is_expired = now >= call.request.deadline;
-        if is_expired || !call.may_add_attempt() || !self.take_retry(call, now) {
+        if is_expired || !call.may_add_attempt() || !self.take_from_budget(call, now) {
             return first.await;
         }
         let second = pin!(async {
@@ -306,8 +320,8 @@
         };
         let elapsed = started.elapsed();
         if matches!(result, AttemptResult::Answered(_)) && !is_cold && load.running < load.slots {
-            let usual = elapsed.mul_f64(100.0 / f64::from(load.slowness_percent.max(1)));
-            self.record_work(call, usual);
+            let normalized = elapsed.mul_f64(100.0 / f64::from(load.slowness_percent.max(1)));
+            self.record_service_time(call, normalized);
         }
         self.metrics.attempts.count(result.name());
         let mut attempt_log = call.attempt_log.lock();
@@ -332,12 +346,12 @@
         result
     }
 
-    /// Updates the estimate of the service's work time. `observed` is scaled to the usual speed of
-    /// the server.
-    fn record_work(&self, call: &ForwardedCall, observed: Duration) {
+    /// Updates the estimate of the service time. `normalized` is an observed service time, scaled to
+    /// the usual speed of the server.
+    fn record_service_time(&self, call: &ForwardedCall, normalized: Duration) {
         self.with_service(&call.pool.service, |state| {
-            let usual = ServiceTime::new(initial_work_estimate(&call.route));
-            state.usual_work.get_or_insert(usual).record(observed);
+            let initial = ServiceTime::new(initial_service_time(&call.route));
+            state.service_time.get_or_insert(initial).record(normalized);
         });
     }
 
@@ -366,11 +380,11 @@
         let Some(stated) = stated else {
             return Duration::ZERO;
         };
-        let mut routes = self.caller_timeouts.lock();
-        if routes.len() > MAX_TIMEOUT_ROUTES {
-            routes.clear();
+        let mut timeouts = self.caller_timeouts.lock();
+        if timeouts.len() > MAX_TIMEOUT_ROUTES {
+            timeouts.clear();
         }
-        routes.entry(route.name.clone()).or_default().record(now, stated)
+        timeouts.entry(route.name.clone()).or_default().record(now, stated)
     }
 
     /// Calls `update` with the state of a service, which is created if needed.
@@ -389,12 +403,12 @@
 
 /// Returns the retry time for a request that was refused because the entry has no routes yet.
 fn no_routes_retry_after() -> Duration {
-    retry_delay(CapacityForecast::After(NO_ROUTES_WAIT), rand::random())
+    retry_delay(CapacityForecast::After(NO_ROUTES_RETRY_BASE), rand::random())
 }
 
-/// Returns the initial estimate of a route's work time, which holds until a request has finished.
-pub(crate) fn initial_work_estimate(route: &RouteSpec) -> Duration {
-    route.target().mul_f64(INITIAL_WORK_SHARE)
+/// Returns the estimate of the service time that is used until a first one has been recorded.
+pub(crate) fn initial_service_time(route: &RouteSpec) -> Duration {
+    route.target().mul_f64(INITIAL_SERVICE_TIME_SHARE)
 }
 
 fn id_text(id: Option<&http::HeaderValue>) -> String {
--- a/crates/gateway/src/http1/answer_bytes.rs
+++ b/crates/gateway/src/http1/answer_bytes.rs
@@ -5,7 +5,7 @@
 use http::{Method, StatusCode, header};
 
 /// Interim response that tells a caller to send the body of its request.
-pub(crate) const CONTINUE_LINE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+pub(crate) const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Encodes a response. It gets a `Content-Length`, except for HEAD requests and for statuses
 /// without a body; `is_last` adds `Connection: close`.
--- a/crates/gateway/src/server_search.rs
+++ b/crates/gateway/src/server_search.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     call::ForwardedCall,
-    forwarder::{RequestForwarder, initial_work_estimate},
+    forwarder::{RequestForwarder, initial_service_time},
     placer::{PlaceError, PlaceRequest, ProbedServer},
     service_queue::QueuePosition,
 };
@@ -14,16 +14,19 @@
 const REPROBE_DELAY: Duration = Duration::from_millis(20);
 /// Maximum number of requests in the queue of one service.
 const MAX_QUEUED: usize = 256;
-/// Fraction of the target latency for which a request waits if it can no longer meet the target, or
-/// if no server is available or responds. After that, a refusal helps the caller more, as it states
-/// when to retry.
+/// Minimum fraction of the target latency for which a request waits for free capacity, even if it
+/// can no longer meet the target. A request also waits this long if its service has no server or no
+/// server responds. A refusal then helps the caller more than a longer wait, because it states when
+/// to retry.
 const MIN_WAIT_SHARE: f64 = 0.12;
 /// Maximum fraction of the target latency for which a request waits for free capacity.
 const MAX_WAIT_SHARE: f64 = 0.5;
 
 impl RequestForwarder {
-    /// Finds a server with free capacity. While all are full, requests wait in a queue for as long
-    /// as there is time to run them. Requests that can still meet their target latency go first.
+    /// Finds a server with free capacity. While all are full, requests wait in a queue until
+    /// [`Self::wait_deadline`]; those that can still meet their target latency go first. If the queue
+    /// holds [`MAX_QUEUED`] requests, a request that has found no server is refused, even if it is
+    /// queued itself.
     pub(crate) async fn find_server(
         &self,
         call: &ForwardedCall,
@@ -31,26 +34,26 @@
         let started = Instant::now();
         let queue = self.with_service(&call.pool.service, |state| state.queue.clone());
         let mut position: Option<QueuePosition> = None;
-        let usual_work = self.usual_work(call);
-        let mut rank = call.rank(started, usual_work);
-        let give_up_at = self.wait_deadline(call, started);
+        let service_time = self.service_time(call);
+        let mut rank = call.rank(started, service_time);
+        let wait_deadline = self.wait_deadline(call, started);
         loop {
             let now = Instant::now();
-            let current = call.rank(now, usual_work);
+            let current = call.rank(now, service_time);
             if position.is_some() && current != rank {
-                position = Some(queue.join(current));
+                position = Some(queue.push(current));
             }
             rank = current;
-            if position.is_some() || queue.would_lead(&rank) {
+            if position.is_some() || queue.would_be_first(&rank) {
                 if let Some(position) = &position
                     && timeout_at(
-                        call.next_rank_change(now, usual_work, give_up_at).into(),
+                        call.next_rank_change(now, service_time, wait_deadline).into(),
                         position.wait_until_first(),
                     )
                     .await
                     .is_err()
                 {
-                    if Instant::now() >= give_up_at {
+                    if Instant::now() >= wait_deadline {
                         return Err(PlaceError::Full);
                     }
                     continue;
@@ -69,11 +72,11 @@
                     Err(_) => {}
                 }
             }
-            if Instant::now() + REPROBE_DELAY >= give_up_at || queue.len() >= MAX_QUEUED {
+            if Instant::now() + REPROBE_DELAY >= wait_deadline || queue.len() >= MAX_QUEUED {
                 return Err(PlaceError::Full);
             }
             if position.is_none() {
-                position = Some(queue.join(rank));
+                position = Some(queue.push(rank));
             }
             sleep(REPROBE_DELAY).await;
         }
@@ -84,11 +87,11 @@
     /// the target, and never so long that it could not finish by its deadline.
     fn wait_deadline(&self, call: &ForwardedCall, now: Instant) -> Instant {
         let target = call.route.target();
-        let usual_work = self.usual_work(call);
+        let service_time = self.service_time(call);
         let earliest = now + target.mul_f64(MIN_WAIT_SHARE);
         let latest = now + target.mul_f64(MAX_WAIT_SHARE);
-        let deadline = call.request.deadline - usual_work;
-        call.latest_start(usual_work).clamp(earliest, latest).min(deadline)
+        let deadline = call.request.deadline - service_time;
+        call.latest_start(service_time).clamp(earliest, latest).min(deadline)
     }
 
     /// Probes servers once and takes the best one.
@@ -109,23 +112,20 @@
         Ok(probed)
     }
 
-    /// Returns the requirements on a server. A late request takes no server's last free slot.
+    /// Returns the requirements on a server. A late request must leave a slot free, except at an idle
+    /// server that has only one.
     fn placement_need(&self, call: &ForwardedCall, is_late: bool) -> PlacementNeed {
-        let (usual_work, target) = (self.usual_work(call), call.route.target());
+        let (service_time, target) = (self.service_time(call), call.route.target());
         if is_late {
-            return PlacementNeed {
-                service_time: usual_work,
-                target,
-                capacity: CapacityNeed::SpareSlot,
-            };
+            return PlacementNeed { service_time, target, capacity: CapacityNeed::SpareSlot };
         }
-        let left = call.target_deadline().saturating_duration_since(Instant::now());
-        PlacementNeed::within(usual_work, target, left)
+        let time_left = call.target_deadline().saturating_duration_since(Instant::now());
+        PlacementNeed::within(service_time, target, time_left)
     }
 
-    /// Returns the estimated median duration of the work for a request.
-    pub(crate) fn usual_work(&self, call: &ForwardedCall) -> Duration {
-        self.with_service(&call.pool.service, |state| state.usual_work)
-            .map_or_else(|| initial_work_estimate(&call.route), |usual| usual.get())
+    /// Returns the estimated median service time of the request's service.
+    pub(crate) fn service_time(&self, call: &ForwardedCall) -> Duration {
+        self.with_service(&call.pool.service, |state| state.service_time)
+            .map_or_else(|| initial_service_time(&call.route), |estimate| estimate.get())
     }
 }
--- a/crates/gateway/src/service_queue.rs
+++ b/crates/gateway/src/service_queue.rs
@@ -20,7 +20,7 @@
 
 impl ServiceQueue {
     /// Returns whether a request of this rank would be first in the queue.
-    pub(crate) fn would_lead(&self, rank: &WaitRank) -> bool {
+    pub(crate) fn would_be_first(&self, rank: &WaitRank) -> bool {
         self.requests.lock().would_be_first(rank)
     }
 
@@ -30,7 +30,7 @@
     }
 
     /// Adds a request to the queue.
-    pub(crate) fn join(self: &Arc<Self>, rank: WaitRank) -> QueuePosition {
+    pub(crate) fn push(self: &Arc<Self>, rank: WaitRank) -> QueuePosition {
         let wakeup = Arc::new(Notify::new());
         let ticket = self.requests.lock().push(rank, wakeup.clone());
         QueuePosition { queue: self.clone(), ticket, wakeup }
