--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -71,7 +71,7 @@
     memory: &Arc<BodyMemory>,
 ) -> Result<(Bytes, MemoryReservation), BodyError> {
     let mut reservation = MemoryReservation::new(memory);
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     if body.size_hint().lower() > limit {
         return Err(BodyError::TooLarge(limit));
     }
@@ -79,11 +79,11 @@
         let frame = frame.map_err(BodyError::BrokenOff)?;
         if let Ok(data) = frame.into_data() {
             reservation.grow(data.len() as u64)?;
-            whole.extend_from_slice(&data);
-            if whole.len() as u64 > limit {
+            buffer.extend_from_slice(&data);
+            if buffer.len() as u64 > limit {
                 return Err(BodyError::TooLarge(limit));
             }
         }
     }
-    Ok((whole.freeze(), reservation))
+    Ok((buffer.freeze(), reservation))
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Returns whether a request that has not started yet is buffered at least partly.
+    /// Returns whether a request, or part of one, has been read but not started.
     fn has_pending_input(&self) -> bool {
         !self.buffer.is_empty() || self.partial.is_some() || self.deferred.is_some()
     }
@@ -185,7 +185,7 @@
     }
 
     /// Takes the next request from the buffer. Also returns whether the caller wants to close the
-    /// connection after it. `None` if the request is not complete or was refused.
+    /// connection after it. Returns `None` if the request is not complete or was refused.
     async fn next_request(&mut self) -> io::Result<Option<(CallerRequest, bool)>> {
         if self.partial.is_none() && !self.buffer.is_empty() {
             self.limits = self.forwarder.caller_limits();
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use types::ServerName;
 
-/// What a caller's header fields say about a request.
+/// Data from the header fields of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
     /// Id of the caller's attempt, which servers echo in their responses.
@@ -14,16 +14,16 @@
     pub time_allowed: Option<Duration>,
 }
 
-/// What an entry tells a server about a request in the header fields.
+/// Data for the header fields of a request to a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ForwardMetadata<'a> {
     /// The intended server; any other server must refuse the request.
     pub server: &'a ServerName,
-    /// Time left until the response is of no use.
+    /// Time left until the caller or the entry stops waiting for the response.
     pub time_allowed: Duration,
 }
 
-/// What the header fields of a server's response say about the response and the server.
+/// Data from the header fields of a server's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerMetadata {
     /// Id of the request that this is the response to.
@@ -48,7 +48,7 @@
     fn write_forward_metadata(&self, headers: &mut HeaderMap, metadata: &ForwardMetadata<'_>);
     /// Parses the header fields of a server's response.
     fn answer_metadata(&self, headers: &HeaderMap) -> AnswerMetadata;
-    /// Removes a server's signature from a response that is not that server's own.
+    /// Removes a server's signature from a response that the entry has changed.
     fn remove_signature(&self, headers: &mut HeaderMap);
     /// Writes how long a refused caller should wait before it retries.
     fn write_retry_after(&self, headers: &mut HeaderMap, wait: Duration);
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -261,8 +261,8 @@
         is_safe && now < call.request.deadline && self.take_from_budget(call, now)
     }
 
-    /// Takes one retry or hedge from this entry's share of the service's retry budget. Returns whether
-    /// the budget allowed it.
+    /// Takes one retry or hedge from this entry's share of the service's retry budget. Returns
+    /// whether the budget allowed it.
     fn take_from_budget(&self, call: &ForwardedCall, now: Instant) -> bool {
         let entries = call.view.entries().filter(|entry| entry.serving).count();
         let is_granted = self.with_service(&call.pool.service, |state| {
@@ -346,8 +346,8 @@
         result
     }
 
-    /// Updates the estimate of the service time. `normalized` is an observed service time, scaled to
-    /// the usual speed of the server.
+    /// Updates the estimate of the service time. `normalized` is an observed service time, scaled
+    /// to the usual speed of the server.
     fn record_service_time(&self, call: &ForwardedCall, normalized: Duration) {
         self.with_service(&call.pool.service, |state| {
             let initial = ServiceTime::new(initial_service_time(&call.route));
--- a/crates/gateway/src/http1/body_decoder.rs
+++ b/crates/gateway/src/http1/body_decoder.rs
@@ -39,7 +39,8 @@
 }
 
 impl BodyDecoder {
-    /// Starts a body of at most `limit` bytes. Fails if its `Content-Length` exceeds the limit.
+    /// Starts decoding a body of at most `limit` bytes. Fails if its `Content-Length` exceeds the
+    /// limit.
     pub(crate) fn new(framing: BodyFraming, limit: u64) -> Result<Self, BodyDecodeError> {
         let state = match framing {
             BodyFraming::Length(length) if length > limit => {
@@ -71,8 +72,8 @@
                     self.state = DecoderState::Done;
                 }
                 DecoderState::ChunkLine => match httparse::parse_chunk_size(buffer) {
-                    Ok(httparse::Status::Complete((line, size))) => {
-                        buffer.advance(line);
+                    Ok(httparse::Status::Complete((line_length, size))) => {
+                        buffer.advance(line_length);
                         self.state = match size {
                             0 => DecoderState::Trailer,
                             size => DecoderState::Chunk(size),
@@ -123,7 +124,8 @@
     }
 }
 
-/// Removes a line from the buffer and returns it without its CRLF. `None` if it is not complete.
+/// Removes a line from the buffer and returns it without its CRLF, or `None` if the line is not
+/// complete.
 fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, BodyDecodeError> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
         let is_within_limit = buffer.len() <= MAX_LINE_BYTES;
--- a/crates/gateway/src/http1/head.rs
+++ b/crates/gateway/src/http1/head.rs
@@ -47,8 +47,8 @@
     pub(crate) expects_continue: bool,
 }
 
-/// Parses the head at the start of `bytes` and returns it with its length in bytes. `None` if the
-/// head is not complete.
+/// Parses the head at the start of `bytes` and returns it with its length in bytes, or `None` if
+/// the head is not complete.
 pub(crate) fn parse_head(
     bytes: &[u8],
     max_bytes: usize,
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -27,8 +27,8 @@
 use tokio::{net::TcpListener, sync::watch, time::sleep};
 use types::{ClusterView, EntryInfo, RouteTable};
 
-/// Period at which a stopping entry checks whether all connections have ended.
-const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(20);
+/// Period at which a stopping entry checks whether all callers' connections are closed.
+const CONNECTION_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 /// Settings of a gateway entry.
 #[derive(Debug, Clone)]
@@ -44,7 +44,7 @@
     /// How long a stopping entry still accepts connections, for callers that have not learned of
     /// the stop yet.
     pub accept_grace: Duration,
-    /// How long a stopping entry then waits for requests in flight.
+    /// How long a stopping entry then waits until all callers' connections are closed.
     pub stop_grace: Duration,
 }
 
@@ -74,7 +74,7 @@
 
 /// A running gateway entry.
 pub struct GatewayNode {
-    holder: Arc<GatewayHolder>,
+    store: Arc<GatewayViewStore>,
     stop: watch::Sender<StopStage>,
     connections: Arc<AtomicUsize>,
     settings: GatewaySettings,
@@ -82,8 +82,8 @@
     logger: Logger,
 }
 
-/// The view of an entry and what is derived from it.
-struct GatewayHolder {
+/// The view of an entry, with the routes and servers derived from it.
+struct GatewayViewStore {
     info: RwLock<EntryInfo>,
     view: Arc<RwLock<Arc<ClusterView>>>,
     gate: FreshnessGate,
@@ -91,7 +91,7 @@
     table: Arc<ServerTable>,
 }
 
-impl ViewStore for GatewayHolder {
+impl ViewStore for GatewayViewStore {
     fn info(&self) -> EntryInfo {
         self.info.read().clone()
     }
@@ -160,20 +160,20 @@
             forward_metrics,
             logger.clone(),
         );
-        let holder = Arc::new(GatewayHolder {
+        let store = Arc::new(GatewayViewStore {
             info: RwLock::new(settings.info.clone()),
             view,
             gate: FreshnessGate::new(Instant::now()),
             forwarder: forwarder.clone(),
             table,
         });
-        let keeper_tools = RefresherContext {
+        let refresher_context = RefresherContext {
             counters: metrics.decisions("freshness", "Confirmations of the view"),
             timeline: timeline.clone(),
             logger: logger.clone(),
             timer,
         };
-        tokio::spawn(ViewRefresher::new(holder.clone(), leader, keeper_tools).run());
+        tokio::spawn(ViewRefresher::new(store.clone(), leader, refresher_context).run());
         let (stop, stopping) = watch::channel(StopStage::Serving);
         let connections = Arc::new(AtomicUsize::new(0));
         let listener = GatewayListener {
@@ -183,25 +183,25 @@
             connections: connections.clone(),
         };
         tokio::spawn(listener.serve(socket));
-        Ok(Arc::new(Self { holder, stop, connections, settings, timeline, logger }))
+        Ok(Arc::new(Self { store, stop, connections, settings, timeline, logger }))
     }
 
     /// Returns whether the entry is ready for callers: it has routes and is not stopping.
     pub fn is_ready(&self) -> bool {
-        self.holder.forwarder.routes.borrow().is_some() && *self.stop.borrow() == StopStage::Serving
+        self.store.forwarder.routes.borrow().is_some() && *self.stop.borrow() == StopStage::Serving
     }
 
     /// Returns the current view of this entry.
     pub fn view(&self) -> Arc<ClusterView> {
-        self.holder.view()
+        self.store.view()
     }
 
-    /// Stops gracefully: leaves the directory, closes each connection after its next response, and
-    /// then closes idle connections. Returns whether all requests in flight finished within
-    /// [`GatewaySettings::stop_grace`].
+    /// Stops gracefully: registers as no longer serving, closes each connection after its next
+    /// response, and after [`GatewaySettings::accept_grace`] also closes idle connections. Returns
+    /// whether all connections were closed within [`GatewaySettings::stop_grace`] after that.
     pub async fn stop(&self) -> bool {
         self.timeline.record(EventKind::StopBegun, EventTags::default(), String::new());
-        self.holder.info.write().serving = false;
+        self.store.info.write().serving = false;
         self.stop.send_replace(StopStage::FinishingRequests);
         sleep(self.settings.accept_grace).await;
         self.stop.send_replace(StopStage::Closing);
@@ -213,7 +213,7 @@
                     "count" => open_count);
                 return false;
             }
-            sleep(DRAIN_CHECK_PERIOD).await;
+            sleep(CONNECTION_CHECK_PERIOD).await;
         }
         true
     }
--- a/crates/gateway/src/server_search.rs
+++ b/crates/gateway/src/server_search.rs
@@ -24,9 +24,9 @@
 
 impl RequestForwarder {
     /// Finds a server with free capacity. While all are full, requests wait in a queue until
-    /// [`Self::wait_deadline`]; those that can still meet their target latency go first. If the queue
-    /// holds [`MAX_QUEUED`] requests, a request that has found no server is refused, even if it is
-    /// queued itself.
+    /// [`Self::wait_deadline`]; those that can still meet their target latency go first. If the
+    /// queue holds [`MAX_QUEUED`] requests, a request that has found no server is refused, even if
+    /// it is queued itself.
     pub(crate) async fn find_server(
         &self,
         call: &ForwardedCall,
@@ -112,8 +112,8 @@
         Ok(probed)
     }
 
-    /// Returns the requirements on a server. A late request must leave a slot free, except at an idle
-    /// server that has only one.
+    /// Returns the requirements on a server. A late request must leave a slot free, except at an
+    /// idle server that has only one.
     fn placement_need(&self, call: &ForwardedCall, is_late: bool) -> PlacementNeed {
         let (service_time, target) = (self.service_time(call), call.route.target());
         if is_late {
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -75,8 +75,8 @@
         state.idle.pop()
     }
 
-    /// Puts a connection that is ready for another request into the pool of idle connections. A full
-    /// pool closes its least recently used connection.
+    /// Puts a connection that is ready for another request into the pool of idle connections. A
+    /// full pool closes its least recently used connection.
     pub(crate) fn put_connection(&self, connection: ServerConnection) {
         let mut state = self.state.lock();
         if state.idle.len() >= MAX_IDLE_CONNECTIONS {
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -20,7 +20,7 @@
 async fn start_with_faulty_server(
     script: Script,
 ) -> (Arc<ScriptedServer>, Arc<ScriptedServer>, TestGateway) {
-    // The faulty server is the only one in the entry's failure domain, so that it is asked first.
+    // The faulty server is the only one in the entry's failure domain, so that it is probed first.
     let faulty = ScriptedServer::start("faulty", "a", script).await;
     let sound = ScriptedServer::start("sound", "b", Script::Answer(200, 0)).await;
     let gateway = TestGateway::start(routing(1, 2), &[&faulty, &sound]).await;
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn order_that_may_have_run_is_not_retried_and_not_reported_as_refused() {
+async fn non_idempotent_request_that_may_have_run_is_not_retried_and_not_reported_as_refused() {
     for fault in [Script::BreakOff, Script::WrongId, Script::Unsigned, Script::Truncated] {
         let (faulty, sound, gateway) = start_with_faulty_server(fault).await;
         let answer = gateway.send("POST", "/order/x", "r1").await;
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn order_that_was_not_run_is_retried_at_another_server() {
+async fn non_idempotent_request_that_was_not_run_is_retried_at_another_server() {
     let (faulty, sound, gateway) = start_with_faulty_server(Script::NotRun).await;
     let answer = gateway.send("POST", "/order/x", "r1").await;
     assert_eq!((answer.status, answer.body.as_str()), (StatusCode::OK, "sound"));
@@ -83,9 +83,8 @@
     }
 }
 
-/// Guards against hedged attempts that are not counted: a hedge and a retry after it together
-/// exceeded `max_attempts`. Found by a fault-injection run, trouble-2 of flakon-gw with seed
-/// 14187024474.
+/// Guards against more attempts than `max_attempts`: a hedge was not counted, so that a retry was
+/// still sent after the first attempt and its hedge had both failed.
 #[tokio::test]
 async fn hedged_attempt_counts_against_max_attempts() {
     let slow = [("s1", "a"), ("s2", "a"), ("s3", "b"), ("s4", "b")];
@@ -226,8 +225,8 @@
     assert_eq!(server.probes.load(Ordering::SeqCst), 0);
 }
 
-/// The servers of a failure domain come back cold while another domain has free capacity. Guards
-/// against probing the cold servers for every request, and against refusing requests.
+/// The servers of a failure domain are cold after a restart while another domain has free capacity.
+/// Guards against probing the cold servers for every request, and against refusing requests.
 #[tokio::test]
 async fn cold_domain_gets_no_more_than_its_rate_while_another_has_capacity() {
     let mut servers = Vec::new();
@@ -249,9 +248,9 @@
     assert!(servers[8].runs() >= 20, "{}", servers[8].runs());
 }
 
-/// Guards against refusals right after a start. After a power loss of all hosts, entries were up
-/// 0.4 s before their first view and refused all callers, whose retries came later than a response
-/// to the first attempt would have.
+/// Guards against refusals right after a start. After a power loss of all hosts, entries started
+/// 0.4 s before they received their first view and refused all callers, whose retries came later
+/// than a response to the first attempt would have.
 #[tokio::test]
 async fn request_before_the_first_view_waits_for_the_view() {
     let server = ScriptedServer::start("sound", "a", Script::Answer(200, 0)).await;
--- a/crates/gateway/tests/framing.rs
+++ b/crates/gateway/tests/framing.rs
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn order_waits_until_earlier_requests_are_answered() {
+async fn non_idempotent_request_waits_until_earlier_requests_are_answered() {
     let (server, gateway) = start(CallerLimits::default(), 50).await;
     let order = "POST /order/x HTTP/1.1\r\nhost: shop.example\r\nx-id: o1\r\nx-ms: 1500\r\n\
                  content-length: 3\r\n\r\nabc";
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -212,7 +212,7 @@
     }
 }
 
-/// Replicas that confirm every view of a state that the test sets.
+/// Replicas that answer every freshness request from the state that the test sets.
 pub struct FixedReplicas {
     pub state: Mutex<ClusterState>,
 }
@@ -251,7 +251,7 @@
     pub address: SocketAddr,
 }
 
-/// Routes of the tests: `/read/` is idempotent, `/order/` is not. Both have these `max_attempts`.
+/// Routes of the tests: `/read/` is idempotent, `/order/` is not. Both have the given `max_attempts`.
 pub fn routing(version: u64, max_attempts: u8) -> RoutingDocument {
     let route = |name: &str, is_idempotent: bool| {
         Arc::new(RouteSpec {
