--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -160,7 +160,7 @@
         let gateway = GatewaySettings {
             info,
             budget: settings.budget,
-            first_routes: StartupWait::default(),
+            startup_wait: StartupWait::default(),
             body_memory_bytes: settings.memory_bytes / BODY_MEMORY_DIVISOR,
             accept_grace: ACCEPT_GRACE,
             stop_grace: settings.stop_grace.saturating_sub(ACCEPT_GRACE + STOP_MARGIN),
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -68,7 +68,7 @@
     pub(crate) memory: Arc<BodyMemory>,
     pub(crate) view: Arc<RwLock<Arc<ClusterView>>>,
     pub(crate) routes: watch::Sender<Option<Arc<InstalledRoutes>>>,
-    pub(crate) first_routes: StartupWait,
+    pub(crate) startup_wait: StartupWait,
     pub(crate) started: Instant,
     pub(crate) budget: BudgetLimits,
     pub(crate) metrics: ForwardMetrics,
@@ -82,7 +82,7 @@
         placer: ServerPlacer,
         view: Arc<RwLock<Arc<ClusterView>>>,
         budget: BudgetLimits,
-        first_routes: StartupWait,
+        startup_wait: StartupWait,
         metrics: ForwardMetrics,
         logger: Logger,
     ) -> Arc<Self> {
@@ -93,7 +93,7 @@
             memory,
             view,
             routes: watch::Sender::new(None),
-            first_routes,
+            startup_wait,
             started: Instant::now(),
             budget,
             metrics,
@@ -200,7 +200,7 @@
             return current;
         }
         let deadline =
-            self.first_routes.wait_until(self.started, arrived, metadata.time_allowed)?;
+            self.startup_wait.wait_until(self.started, arrived, metadata.time_allowed)?;
         let mut routes = self.routes.subscribe();
         let installed = timeout_at(deadline.into(), routes.wait_for(Option::is_some)).await;
         installed.ok()?.ok()?.clone()
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -38,7 +38,7 @@
     /// The retry budget that all entries share.
     pub budget: BudgetLimits,
     /// How long requests wait for the first routes after a start.
-    pub first_routes: StartupWait,
+    pub startup_wait: StartupWait,
     /// Maximum number of bytes of all bodies that the entry buffers.
     pub body_memory_bytes: u64,
     /// How long a stopping entry still accepts connections, for callers that have not learned of
@@ -156,7 +156,7 @@
             placer,
             view.clone(),
             settings.budget,
-            settings.first_routes,
+            settings.startup_wait,
             forward_metrics,
             logger.clone(),
         );
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -255,8 +255,8 @@
 async fn request_before_the_first_view_waits_for_the_view() {
     let server = ScriptedServer::start("sound", "a", Script::Answer(200, 0)).await;
     let minute = Duration::from_secs(60);
-    let first_routes = StartupWait { expected_within: minute, max_wait: minute };
-    let gateway = TestGateway::start_empty(first_routes).await;
+    let startup_wait = StartupWait { expected_within: minute, max_wait: minute };
+    let gateway = TestGateway::start_empty(startup_wait).await;
     let publish = async {
         sleep(Duration::from_millis(100)).await;
         gateway.publish(routing(1, 2), &[&server]);
@@ -268,8 +268,8 @@
 
 #[tokio::test]
 async fn entry_without_a_view_refuses_immediately_with_a_retry_time() {
-    let first_routes = StartupWait { expected_within: Duration::ZERO, ..StartupWait::default() };
-    let gateway = TestGateway::start_empty(first_routes).await;
+    let startup_wait = StartupWait { expected_within: Duration::ZERO, ..StartupWait::default() };
+    let gateway = TestGateway::start_empty(startup_wait).await;
     let answer = gateway.send("GET", "/read/x", "r1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"), "{:?}", answer.headers);
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -317,7 +317,7 @@
     }
 
     /// Starts an entry whose replicas have no routes and no servers.
-    pub async fn start_empty(first_routes: StartupWait) -> Self {
+    pub async fn start_empty(startup_wait: StartupWait) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
         drop(listener);
@@ -339,7 +339,7 @@
         let settings = GatewaySettings {
             info,
             budget: BudgetLimits { slack: 100, ..BudgetLimits::default() },
-            first_routes,
+            startup_wait,
             body_memory_bytes: 64 * 1024 * 1024,
             accept_grace: Duration::from_millis(200),
             stop_grace: Duration::from_secs(5),
