--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -80,6 +80,7 @@
     pub(crate) summary: String,
     /// Number of servers that were probed in searches that found a server; others are not counted.
     pub(crate) probe_count: usize,
+    /// Whether a server may have run the request.
     pub(crate) may_have_run: bool,
     /// Whether the server of the last attempt had a free slot when it was probed.
     pub(crate) had_free_slot: bool,
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -31,7 +31,7 @@
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 /// How long a connection is still read from after this side has closed it. Dropping it with unread
 /// bytes would reset it, and the caller might lose the last response.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A request whose body is not complete.
 struct PartialRequest {
@@ -277,7 +277,7 @@
         Ok(is_last)
     }
 
-    /// Closes this side, and reads until the caller closes or [`LINGER`] has passed.
+    /// Closes this side, and reads until the caller closes or [`LINGER_TIMEOUT`] has passed.
     async fn linger(&mut self) {
         self.running.clear();
         if self.stream.shutdown().await.is_err() {
@@ -293,6 +293,6 @@
             }
         };
         // Drops the connection after the timeout even if the caller has not closed it.
-        let _ = timeout(LINGER, read_to_end).await;
+        let _ = timeout(LINGER_TIMEOUT, read_to_end).await;
     }
 }
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway entry with scripted servers on loopback, and replicas simulated by a fixed state.
+//! A gateway entry with scripted servers on loopback and simulated replicas.
 
 #![allow(dead_code, reason = "each test file uses a part of the harness")]
 
@@ -213,18 +213,18 @@
 }
 
 /// Replicas that answer every freshness request from the state that the test sets.
-pub struct FixedReplicas {
+pub struct SimulatedReplicas {
     pub state: Mutex<ClusterState>,
 }
 
-impl FixedReplicas {
+impl SimulatedReplicas {
     pub fn apply(&self, command: &Command) {
         self.state.lock().apply(LogTime(1), command);
     }
 }
 
 #[async_trait]
-impl PeerLink for FixedReplicas {
+impl PeerLink for SimulatedReplicas {
     async fn call(
         &self,
         _target: &PeerTarget,
@@ -247,11 +247,12 @@
 /// A running entry and its replicas.
 pub struct TestGateway {
     pub node: Arc<GatewayNode>,
-    pub replicas: Arc<FixedReplicas>,
+    pub replicas: Arc<SimulatedReplicas>,
     pub address: SocketAddr,
 }
 
-/// Routes of the tests: `/read/` is idempotent, `/order/` is not. Both have the given `max_attempts`.
+/// Routes of the tests: `/read/` is idempotent, `/order/` is not. Both have the given
+/// `max_attempts`.
 pub fn routing(version: u64, max_attempts: u8) -> RoutingDocument {
     let route = |name: &str, is_idempotent: bool| {
         Arc::new(RouteSpec {
@@ -334,7 +335,7 @@
         };
         let mut state = ClusterState::default();
         state.apply(LogTime(1), &Command::PutEntry(info.clone()));
-        let replicas = Arc::new(FixedReplicas { state: Mutex::new(state) });
+        let replicas = Arc::new(SimulatedReplicas { state: Mutex::new(state) });
         let target = PeerTarget { host: "core-1".parse().expect("name"), address };
         let settings = GatewaySettings {
             info,
