--- a/crates/gateway/src/placer.rs
+++ b/crates/gateway/src/placer.rs
@@ -38,8 +38,8 @@
 const MAX_REPORT_AGE: Duration = Duration::from_millis(15);
 
 /// Number of servers of a service that an entry prefers, counted separately inside and outside of
-/// its failure domain. A larger number makes it more likely that one has free capacity, but takes
-/// more open connections.
+/// its failure domain. Among this many, an entry finds one with free capacity, and it can keep
+/// connections open to all of them.
 const PREFERRED_SERVERS: usize = 12;
 /// Failure share above which a server is probed after others.
 const MAX_FAILURE_SHARE: f64 = 0.3;
