--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Takes the most recently used idle connection. Connections that are no longer usable are closed.
+    /// Takes the most recently used idle connection. Connections that are no longer usable are
+    /// closed.
     pub(crate) fn take_connection(&self, now: Instant) -> Option<ServerConnection> {
         let mut state = self.state.lock();
         state.idle.retain(|connection| connection.is_usable(now));
