--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -5,7 +5,7 @@
     body::{BodyError, MemoryReservation},
     call::CallerRequest,
     forwarder::RequestForwarder,
-    http1::{BodyDecoder, CONTINUE_LINE, HeadError, RequestHead, encode_answer, parse_head},
+    http1::{BodyDecoder, CONTINUE_RESPONSE, HeadError, RequestHead, encode_answer, parse_head},
     listener::StopStage,
 };
 use bytes::{Bytes, BytesMut};
@@ -31,7 +31,7 @@
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 /// How long a connection is still read from after this side has closed it. Dropping it with unread
 /// bytes would reset it, and the caller might lose the last response.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A request whose body is not complete.
 struct PartialRequest {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Returns whether a request that has not started yet is buffered at least partly.
+    /// Returns whether a request, or part of one, has been read but not started.
     fn has_pending_input(&self) -> bool {
         !self.buffer.is_empty() || self.partial.is_some() || self.deferred.is_some()
     }
@@ -185,7 +185,7 @@
     }
 
     /// Takes the next request from the buffer. Also returns whether the caller wants to close the
-    /// connection after it. `None` if the request is not complete or was refused.
+    /// connection after it. Returns `None` if the request is not complete or was refused.
     async fn next_request(&mut self) -> io::Result<Option<(CallerRequest, bool)>> {
         if self.partial.is_none() && !self.buffer.is_empty() {
             self.limits = self.forwarder.caller_limits();
@@ -246,7 +246,7 @@
             }
         };
         if head.expects_continue && self.buffer.is_empty() && self.running.is_empty() {
-            self.stream.write_all(CONTINUE_LINE).await?;
+            self.stream.write_all(CONTINUE_RESPONSE).await?;
         }
         let reservation = MemoryReservation::new(&self.forwarder.memory);
         self.partial = Some(PartialRequest { head, body, reservation });
@@ -277,7 +277,7 @@
         Ok(is_last)
     }
 
-    /// Closes this side, and reads until the caller closes or [`LINGER`] has passed.
+    /// Closes this side, and reads until the caller closes or [`LINGER_TIMEOUT`] has passed.
     async fn linger(&mut self) {
         self.running.clear();
         if self.stream.shutdown().await.is_err() {
@@ -293,6 +293,6 @@
             }
         };
         // Drops the connection after the timeout even if the caller has not closed it.
-        let _ = timeout(LINGER, read_to_end).await;
+        let _ = timeout(LINGER_TIMEOUT, read_to_end).await;
     }
 }
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -3,7 +3,7 @@
 use crate::{
     GatewayAnswer, RequestMetadata, WireDialect,
     answer::remove_hop_headers,
-    attempt::{AttemptOutcome, PreparedRequest, run_attempt},
+    attempt::{AttemptResult, PreparedRequest, run_attempt},
     body::BodyMemory,
     call::{CallerRequest, ForwardedCall},
     final_answer::final_answer,
@@ -33,20 +33,23 @@
 };
 use types::{CallerLimits, ClusterView, RouteSpec, ServiceName};
 
-/// Typical time from the start of an entry until it has routes.
-const NO_ROUTES_WAIT: Duration = Duration::from_millis(250);
-/// Maximum number of routes for which callers' timeouts are tracked; beyond it, all are forgotten.
+/// Base of the retry time that callers get while the entry has no routes: the typical time from the
+/// start of an entry until it has routes.
+const NO_ROUTES_RETRY_BASE: Duration = Duration::from_millis(250);
+/// Maximum number of routes for which callers' timeouts are tracked. Above it, the timeouts of all
+/// routes are discarded.
 const MAX_TIMEOUT_ROUTES: usize = 4_096;
-/// Fraction of the target latency after which an idempotent request is hedged.
+/// Fraction of the target latency, from the start of an attempt, after which an idempotent request
+/// is hedged.
 const HEDGE_SHARE: f64 = 0.6;
-/// Initial estimate of a service's work time, as a fraction of the target latency.
-const INITIAL_WORK_SHARE: f64 = 0.4;
+/// Initial estimate of the service time, as a fraction of the route's target latency.
+const INITIAL_SERVICE_TIME_SHARE: f64 = 0.4;
 
 /// The state that an entry keeps for one service.
 #[derive(Default)]
 pub(crate) struct ServiceState {
     budget: SharedBudget,
-    pub(crate) usual_work: Option<ServiceTime>,
+    pub(crate) service_time: Option<ServiceTime>,
     pub(crate) queue: Arc<ServiceQueue>,
 }
 
@@ -65,7 +68,7 @@
     pub(crate) memory: Arc<BodyMemory>,
     pub(crate) view: Arc<RwLock<Arc<ClusterView>>>,
     pub(crate) routes: watch::Sender<Option<Arc<InstalledRoutes>>>,
-    pub(crate) first_routes: StartupWait,
+    pub(crate) startup_wait: StartupWait,
     pub(crate) started: Instant,
     pub(crate) budget: BudgetLimits,
     pub(crate) metrics: ForwardMetrics,
@@ -79,7 +82,7 @@
         placer: ServerPlacer,
         view: Arc<RwLock<Arc<ClusterView>>>,
         budget: BudgetLimits,
-        first_routes: StartupWait,
+        startup_wait: StartupWait,
         metrics: ForwardMetrics,
         logger: Logger,
     ) -> Arc<Self> {
@@ -90,7 +93,7 @@
             memory,
             view,
             routes: watch::Sender::new(None),
-            first_routes,
+            startup_wait,
             started: Instant::now(),
             budget,
             metrics,
@@ -155,9 +158,18 @@
             PreparedRequest { id, method, target, headers, body, caller_deadline, deadline };
         let view = self.view.read().clone();
         let is_idempotent = route.is_idempotent;
-        let waited = self.record_caller_timeout(&route, arrived, metadata.time_allowed);
+        let earlier_attempts_time =
+            self.record_caller_timeout(&route, arrived, metadata.time_allowed);
         let attempt_log = Mutex::default();
-        let call = ForwardedCall { route, pool, request, arrived, waited, view, attempt_log };
+        let call = ForwardedCall {
+            route,
+            pool,
+            request,
+            arrived,
+            earlier_attempts_time,
+            view,
+            attempt_log,
+        };
         self.with_service(&call.pool.service, |state| {
             state.budget.record_request(arrived, &self.budget);
         });
@@ -188,7 +200,7 @@
             return current;
         }
         let deadline =
-            self.first_routes.wait_until(self.started, arrived, metadata.time_allowed)?;
+            self.startup_wait.wait_until(self.started, arrived, metadata.time_allowed)?;
         let mut routes = self.routes.subscribe();
         let installed = timeout_at(deadline.into(), routes.wait_for(Option::is_some)).await;
         installed.ok()?.ok()?.clone()
@@ -197,7 +209,7 @@
     /// Runs the attempts for a request, then records and logs the result.
     async fn serve(&self, call: &ForwardedCall) -> GatewayAnswer {
         let result = self.run_attempts(call).await;
-        let (answer, outcome) = final_answer(call, result, self.usual_work(call), &*self.dialect);
+        let (answer, outcome) = final_answer(call, result, self.service_time(call), &*self.dialect);
         let elapsed = call.arrived.elapsed();
         self.metrics.requests.count(outcome);
         self.metrics.latency.observe(elapsed.as_secs_f64());
@@ -208,50 +220,50 @@
             "view" => call.view.version.0, "routing" => call.view.routing_version().0,
             "asked" => attempt_log.probe_count, "attempts" => attempt_log.summary.as_str(),
             "status" => answer.status.as_u16(), "outcome" => outcome,
-            "waited_ms" => call.waited.as_millis() as u64, "ms" => elapsed.as_millis() as u64,
+            "waited_ms" => call.earlier_attempts_time.as_millis() as u64,
+            "ms" => elapsed.as_millis() as u64,
             "left_ms" => (call.request.caller_deadline - Instant::now()).as_millis() as u64,
             "retry_after_ms" => answer.retry_after.map(|wait| wait.as_millis() as u64));
         answer
     }
 
-    /// Tries servers until one answers the request. Returns the outcome of the last attempt, or why
+    /// Tries servers until one answers the request. Returns the result of the last attempt, or why
     /// there was none.
-    async fn run_attempts(&self, call: &ForwardedCall) -> Result<AttemptOutcome, PlaceError> {
-        let mut last: Option<AttemptOutcome> = None;
+    async fn run_attempts(&self, call: &ForwardedCall) -> Result<AttemptResult, PlaceError> {
+        let mut last: Option<AttemptResult> = None;
         while call.may_add_attempt() {
-            if last.is_some() && !self.may_retry(call, last.as_ref()) {
+            if last.is_some() && !self.take_retry(call, last.as_ref()) {
                 break;
             }
             let placed = self.find_server(call).await;
-            let outcome = match (placed, last.take()) {
+            let result = match (placed, last.take()) {
                 (Ok(probed), _) => self.run_hedged(call, probed).await,
-                (Err(_), Some(outcome)) => return Ok(outcome),
+                (Err(_), Some(result)) => return Ok(result),
                 (Err(error), None) => return Err(error),
             };
-            if matches!(outcome, AttemptOutcome::Answered(_)) {
-                return Ok(outcome);
+            if matches!(result, AttemptResult::Answered(_)) {
+                return Ok(result);
             }
-            last = Some(outcome);
+            last = Some(result);
         }
         last.ok_or(PlaceError::NoServers)
     }
 
-    /// Returns whether a request may be sent again after `last`, and takes the retry from the
-    /// budget.
-    fn may_retry(&self, call: &ForwardedCall, last: Option<&AttemptOutcome>) -> bool {
+    /// Takes a retry from the budget if the request may be sent again after `last`. Returns whether
+    /// a retry was taken.
+    fn take_retry(&self, call: &ForwardedCall, last: Option<&AttemptResult>) -> bool {
         let now = Instant::now();
         let is_safe = match last {
-            Some(AttemptOutcome::NotRun(_)) | None => true,
-            Some(AttemptOutcome::Failed(_) | AttemptOutcome::Unknown(_)) => {
-                call.route.is_idempotent
-            }
-            Some(AttemptOutcome::Answered(_) | AttemptOutcome::TimedOut) => false,
+            Some(AttemptResult::NotRun(_)) | None => true,
+            Some(AttemptResult::Failed(_) | AttemptResult::Unknown(_)) => call.route.is_idempotent,
+            Some(AttemptResult::Answered(_) | AttemptResult::TimedOut) => false,
         };
-        is_safe && now < call.request.deadline && self.take_retry(call, now)
+        is_safe && now < call.request.deadline && self.take_from_budget(call, now)
     }
 
-    /// Takes one retry or hedge from this entry's share of the service's retry budget.
-    fn take_retry(&self, call: &ForwardedCall, now: Instant) -> bool {
+    /// Takes one retry or hedge from this entry's share of the service's retry budget. Returns
+    /// whether the budget allowed it.
+    fn take_from_budget(&self, call: &ForwardedCall, now: Instant) -> bool {
         let entries = call.view.entries().filter(|entry| entry.serving).count();
         let is_granted = self.with_service(&call.pool.service, |state| {
             state.budget.take(now, &self.budget, entries)
@@ -261,9 +273,9 @@
     }
 
     /// Runs one attempt. If it takes long and the request is idempotent, hedges it with a second
-    /// attempt at another server. The attempt that loses is dropped, which cancels it at its
-    /// server.
-    async fn run_hedged(&self, call: &ForwardedCall, probed: ProbedServer) -> AttemptOutcome {
+    /// attempt at another server. When one of them is answered, the other is dropped, which
+    /// cancels it at its server.
+    async fn run_hedged(&self, call: &ForwardedCall, probed: ProbedServer) -> AttemptResult {
         let first = pin!(self.try_server(call, probed));
         if !call.route.is_idempotent {
             return first.await;
@@ -271,12 +283,12 @@
         let hedge_at = Instant::now() + call.route.target().mul_f64(HEDGE_SHARE);
         let hedge_timer = pin!(sleep_until(hedge_at.min(call.request.deadline).into()));
         let first = match futures_util::future::select(first, hedge_timer).await {
-            Either::Left((outcome, _)) => return outcome,
+            Either::Left((result, _)) => return result,
             Either::Right(((), first)) => first,
         };
         let now = Instant::now();
         let is_expired = now >= call.request.deadline;
-        if is_expired || !call.may_add_attempt() || !self.take_retry(call, now) {
+        if is_expired || !call.may_add_attempt() || !self.take_from_budget(call, now) {
             return first.await;
         }
         let second = pin!(async {
@@ -286,37 +298,37 @@
             }
         });
         match futures_util::future::select(first, second).await {
-            Either::Left((outcome @ AttemptOutcome::Answered(_), _)) => outcome,
-            Either::Left((outcome, second)) => second.await.unwrap_or(outcome),
-            Either::Right((Some(outcome @ AttemptOutcome::Answered(_)), _)) => outcome,
+            Either::Left((result @ AttemptResult::Answered(_), _)) => result,
+            Either::Left((result, second)) => second.await.unwrap_or(result),
+            Either::Right((Some(result @ AttemptResult::Answered(_)), _)) => result,
             Either::Right((_, first)) => first.await,
         }
     }
 
     /// Runs one attempt at a server, and records it.
-    async fn try_server(&self, call: &ForwardedCall, probed: ProbedServer) -> AttemptOutcome {
+    async fn try_server(&self, call: &ForwardedCall, probed: ProbedServer) -> AttemptResult {
         let started = Instant::now();
         let (name, load) = (probed.server.name.clone(), probed.candidate.load);
         let is_listed = self.placer.table.is_listed(&call.pool.service, &probed.server);
         let age = probed.probed_at.elapsed();
         call.attempt_log.lock().tried.push(name.clone());
         let is_cold = probed.candidate.is_cold;
-        let outcome = if is_listed {
+        let result = if is_listed {
             run_attempt(&call.request, probed, &self.dialect, &self.memory).await
         } else {
-            AttemptOutcome::NotRun("the server has just left".to_owned())
+            AttemptResult::NotRun("the server has just left".to_owned())
         };
         let elapsed = started.elapsed();
-        if matches!(outcome, AttemptOutcome::Answered(_)) && !is_cold && load.running < load.slots {
-            let usual = elapsed.mul_f64(100.0 / f64::from(load.slowness_percent.max(1)));
-            self.record_work(call, usual);
+        if matches!(result, AttemptResult::Answered(_)) && !is_cold && load.running < load.slots {
+            let normalized = elapsed.mul_f64(100.0 / f64::from(load.slowness_percent.max(1)));
+            self.record_service_time(call, normalized);
         }
-        self.metrics.attempts.count(outcome.name());
+        self.metrics.attempts.count(result.name());
         let mut attempt_log = call.attempt_log.lock();
         attempt_log.had_free_slot = load.running < load.slots;
-        attempt_log.may_have_run |= !matches!(outcome, AttemptOutcome::NotRun(_));
-        let reason = match &outcome {
-            AttemptOutcome::NotRun(reason) | AttemptOutcome::Unknown(reason) => reason.as_str(),
+        attempt_log.may_have_run |= !matches!(result, AttemptResult::NotRun(_));
+        let reason = match &result {
+            AttemptResult::NotRun(reason) | AttemptResult::Unknown(reason) => reason.as_str(),
             _ => "",
         };
         // Writing to a string cannot fail.
@@ -328,18 +340,18 @@
             load.slots,
             load.slowness_percent,
             age.as_millis(),
-            outcome.name(),
+            result.name(),
             elapsed.as_millis()
         );
-        outcome
+        result
     }
 
-    /// Updates the estimate of the service's work time. `observed` is scaled to the usual speed of
-    /// the server.
-    fn record_work(&self, call: &ForwardedCall, observed: Duration) {
+    /// Updates the estimate of the service time. `normalized` is an observed service time, scaled
+    /// to the usual speed of the server.
+    fn record_service_time(&self, call: &ForwardedCall, normalized: Duration) {
         self.with_service(&call.pool.service, |state| {
-            let usual = ServiceTime::new(initial_work_estimate(&call.route));
-            state.usual_work.get_or_insert(usual).record(observed);
+            let initial = ServiceTime::new(initial_service_time(&call.route));
+            state.service_time.get_or_insert(initial).record(normalized);
         });
     }
 
@@ -368,11 +380,11 @@
         let Some(stated) = stated else {
             return Duration::ZERO;
         };
-        let mut routes = self.caller_timeouts.lock();
-        if routes.len() > MAX_TIMEOUT_ROUTES {
-            routes.clear();
+        let mut timeouts = self.caller_timeouts.lock();
+        if timeouts.len() > MAX_TIMEOUT_ROUTES {
+            timeouts.clear();
         }
-        routes.entry(route.name.clone()).or_default().record(now, stated)
+        timeouts.entry(route.name.clone()).or_default().record(now, stated)
     }
 
     /// Calls `update` with the state of a service, which is created if needed.
@@ -391,12 +403,12 @@
 
 /// Returns the retry time for a request that was refused because the entry has no routes yet.
 fn no_routes_retry_after() -> Duration {
-    retry_delay(CapacityForecast::After(NO_ROUTES_WAIT), rand::random())
+    retry_delay(CapacityForecast::After(NO_ROUTES_RETRY_BASE), rand::random())
 }
 
-/// Returns the initial estimate of a route's work time, which holds until a request has finished.
-pub(crate) fn initial_work_estimate(route: &RouteSpec) -> Duration {
-    route.target().mul_f64(INITIAL_WORK_SHARE)
+/// Returns the estimate of the service time that is used until a first one has been recorded.
+pub(crate) fn initial_service_time(route: &RouteSpec) -> Duration {
+    route.target().mul_f64(INITIAL_SERVICE_TIME_SHARE)
 }
 
 fn id_text(id: Option<&http::HeaderValue>) -> String {
