--- a/crates/consensus/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -8,8 +8,9 @@
 use thiserror::Error;
 use types::LogTime;
 
-/// Upper bound of the startup rank, in ticks. With two voters lost, the most that are tolerated at
-/// once, the third voter starts its first election before the voters ahead of it start their next.
+/// Upper bound of the startup rank, in ticks. A group of five voters tolerates the loss of two; even
+/// then, the third voter starts its first election before the voters of lower rank start their
+/// second.
 const MAX_STARTUP_RANK: u32 = 3;
 
 /// Settings of the core. One tick is one call of [`Consensus::tick`].
@@ -18,15 +19,17 @@
     /// Ticks between the heartbeats of a leader.
     pub heartbeat_ticks: u32,
     /// Election timeout in ticks. A replica adds a random number of ticks from 0 to this value. A
-    /// leader that does not hear from a quorum within this time steps down.
+    /// leader also checks once per this period whether a quorum answered within it, and otherwise
+    /// steps down.
     pub election_ticks: u32,
-    /// Initial election timeout in ticks, used from startup until this replica hears from a leader.
-    /// The first timeout adds the startup rank, later ones a random number of ticks as above. Each
-    /// pre-vote and each election lengthens it by one tick, up to `election_ticks`, since messages
-    /// may take longer than the initial value. The pre-vote keeps a replica with such a short
-    /// timeout from deposing a live leader.
+    /// Initial election timeout in ticks, used until this replica leads or hears from a leader.
+    ///
+    /// The first timeout adds the startup rank, later ones a random number of ticks from 0 to the
+    /// current timeout. Each pre-vote and each election lengthens the timeout by one tick, up to
+    /// `election_ticks`, since messages may take longer than the initial value. The pre-vote
+    /// prevents a replica with a short timeout from deposing a live leader.
     pub startup_election_ticks: u32,
-    /// Lower bound, in ticks, of the startup timeout after this replica grants a vote. The
+    /// Lower bound, in ticks, of the startup timeout after this replica grants a vote, because the
     /// candidate still needs disk syncs and messages before it leads.
     pub post_vote_ticks: u32,
     /// Maximum number of entries in one message.
@@ -91,7 +94,8 @@
     /// Memberships of the snapshot and of the log, each with the index from which it is effective.
     pub(crate) memberships: Vec<(LogIndex, Membership)>,
     pub(crate) commit: LogIndex,
-    /// Last entry that was passed to the driver for application, or that a snapshot covers.
+    /// Index of the last entry that was returned to the driver for application, or that a snapshot
+    /// covers.
     pub(crate) emitted: LogIndex,
     /// Index up to which the log is durable.
     pub(crate) persisted: LogIndex,
@@ -336,10 +340,10 @@
         self.effects.hard_state = Some(hard_state);
     }
 
-    /// Returns the startup rank, the number of ticks by which this replica's first election starts
-    /// after that of the first voter when the whole group starts. Replicas that start together also
-    /// tick together, and a random part of so few ticks would often let two of them start an
-    /// election at the same time and split the vote.
+    /// Returns the startup rank: when the whole group starts, the number of ticks between the first
+    /// election of the first voter and that of this replica. Replicas that start together also tick
+    /// together, so with a random delay of so few ticks, two of them would often start an election
+    /// at the same time and split the vote.
     fn startup_rank(&self) -> u32 {
         let preceding_count = self.membership().voters().filter(|id| *id < self.id).count();
         (preceding_count as u32).min(MAX_STARTUP_RANK)
@@ -354,9 +358,9 @@
         self.election_deadline = ticks + self.rng.random_range(0..=ticks);
     }
 
-    /// Records that a leader was heard, after which the startup timeout no longer applies. Also
-    /// resets the running timer: its short timeout could expire between two heartbeats of a leader
-    /// that is slightly late.
+    /// Records that this replica leads or has heard from a leader, after which the startup timeout
+    /// no longer applies. The first time, also resets the running timer: its short timeout could
+    /// expire between two heartbeats of a leader that is slightly late.
     pub(crate) fn record_leader_contact(&mut self) {
         if !std::mem::replace(&mut self.has_heard_leader, true) {
             self.reset_election_timer();
@@ -405,8 +409,8 @@
         }
     }
 
-    /// Answers a request of an earlier term with the current term, so that a stale leader steps
-    /// down.
+    /// Answers an append, a snapshot or a pre-vote of an earlier term with the current term, so that
+    /// a stale leader steps down. Ignores all other messages.
     fn handle_stale_message(&mut self, envelope: &Envelope) {
         match envelope.message {
             Message::Append { round, .. } | Message::Install { round, .. } => {
--- a/crates/consensus/src/effects.rs
+++ b/crates/consensus/src/effects.rs
@@ -39,8 +39,8 @@
 /// The work that results from one batch of inputs.
 ///
 /// The driver first sends `early_messages`, then makes `install`, `hard_state`, `truncate_from` and
-/// `entries` durable, then sends `messages`, calls `Consensus::mark_persisted` and applies
-/// `committed`.
+/// `entries` durable. After that, it calls `Consensus::mark_persisted`, sends `messages`, applies
+/// `committed`, serves each of `reads` once its index is applied, and rejects `failed_reads`.
 #[derive(Debug, Default)]
 pub struct Effects {
     /// Messages that may be sent before anything in this batch is durable.
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -17,7 +17,7 @@
     pub id: ReplicaId,
     /// Index up to which its log equals the leader's.
     pub matched: LogIndex,
-    /// Whether it answered within the last election timeout.
+    /// Whether it answered, or was added, since the last quorum check.
     pub is_active: bool,
 }
 
@@ -153,12 +153,12 @@
         for progress in leader_state.progress.values_mut() {
             progress.install_retry_ticks = progress.install_retry_ticks.saturating_sub(1);
         }
-        let heartbeat_is_due = leader_state.ticks_since_heartbeat >= heartbeat_ticks;
+        let is_heartbeat_due = leader_state.ticks_since_heartbeat >= heartbeat_ticks;
         if leader_state.ticks_since_check >= election_ticks && !self.check_quorum() {
             self.become_follower(self.term(), None);
             return;
         }
-        if heartbeat_is_due {
+        if is_heartbeat_due {
             self.send_heartbeats();
         }
     }
@@ -342,14 +342,14 @@
             })
         };
         let started_round = leader_state.round;
-        let done = leader_state
+        let ready_count = leader_state
             .reads
             .iter()
             .take_while(|read| read.round <= started_round && is_acked(read.round))
             .count();
         let commit = self.commit;
         if let RoleState::Leader(leader_state) = &mut self.role {
-            for read in leader_state.reads.drain(..done) {
+            for read in leader_state.reads.drain(..ready_count) {
                 self.effects.reads.push(ReadyRead { token: read.token, index: commit });
             }
         }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -90,8 +90,8 @@
         if let Some(image) = base {
             log.reset(image);
         }
-        // A log that was written before the snapshot may begin before or after the snapshot's end.
-        // If entries are missing in between, none of the log is used.
+        // A log that was written before the snapshot may contain entries that the snapshot covers,
+        // which are dropped. If entries are missing between the two, the whole log is ignored.
         if let Some(first) = entries.first()
             && first.index <= log.base_index.next()
             && first.index.0 > 0
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -5,7 +5,8 @@
 use thiserror::Error;
 use types::HostName;
 
-/// Identity of a replica, generated at random for each data folder.
+/// Identity of a replica, stored in its data folder. Random, except that a seed which starts for the
+/// first time uses a hash of its address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReplicaId(pub u64);
 
@@ -30,11 +31,12 @@
 pub struct Member {
     /// Identity of the replica's data folder.
     pub id: ReplicaId,
-    /// Name of its host, as in the host's certificate.
+    /// Name of its host, as in the host's certificate. In a group formed from seed addresses, a
+    /// placeholder made from the IP address.
     pub host: HostName,
     /// Address at which other processes reach it.
     pub address: SocketAddr,
-    /// Whether it votes.
+    /// Its role in elections and replication.
     pub role: MemberRole,
 }
 
@@ -52,7 +54,7 @@
 /// Reason why a membership change is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum MembershipError {
-    /// The identity is already a member.
+    /// The identity is already a member. The host is not checked, although the message mentions it.
     #[error("replica {0} or its host is a member already")]
     AlreadyMember(ReplicaId),
     /// The identity is not a member, or is not a learner although the change requires one.
--- a/crates/consensus/tests/election_timer.rs
+++ b/crates/consensus/tests/election_timer.rs
@@ -42,8 +42,7 @@
 }
 
 /// Guards against a follower that keeps the short startup timeout after it has heard from its
-/// leader, and then starts an election whenever a heartbeat is slightly late. Seen in a test of the
-/// replica that ran while the host was busy with a build.
+/// leader: on a busy host, it starts an election whenever a heartbeat is slightly late.
 #[test]
 fn replica_that_heard_from_a_leader_waits_the_full_election_timeout() {
     for seed in 0..50 {
@@ -116,9 +115,9 @@
     leaders
 }
 
-/// Guards against a voter whose next tick comes right after its vote: it started an election of its
-/// own, deposed the leader that it had just elected and did not win, which left the group without a
-/// leader for half a second. Seen once after all processes were killed at the end of a run.
+/// Guards against a voter that ticks right after it has granted a vote and then starts an election:
+/// it deposes the new leader without winning itself, and the group has no leader for half a second.
+/// Seen once after all processes were killed at the end of a run.
 #[test]
 fn voter_does_not_depose_the_leader_that_it_just_elected() {
     for (count, seed) in [3, 5, 12].into_iter().flat_map(|count| (0..300).map(move |s| (count, s)))
@@ -128,8 +127,8 @@
     }
 }
 
-/// Guards against a group whose replicas all restart and then wait three to six ticks until the
-/// first one starts an election. Seen in runs that end with a power loss on all hosts.
+/// Guards against slow recovery after a power loss on all hosts, when no replica starts an election
+/// within the first three to six ticks.
 #[test]
 fn restarted_group_soon_has_a_leader() {
     for (count, seed) in [3, 5, 12].into_iter().flat_map(|count| (0..100).map(move |s| (count, s)))
@@ -151,9 +150,9 @@
     }
 }
 
-/// Guards against a group that starts simultaneously and splits its vote, which left it without a
-/// leader for about 0.4 s. Seen in 1 of 64 runs that end with a kill of all processes. Without
-/// startup ranks, 2 of 100 groups of five took 12 to 24 ticks to elect a leader.
+/// Guards against split votes when all replicas start at once, as in 1 of 64 runs that end with a
+/// kill of all processes: the group has no leader for about 0.4 s. Without startup ranks, 2 of 100
+/// groups of five took 12 to 24 ticks to elect a leader.
 #[test]
 fn group_that_starts_simultaneously_rarely_splits_its_vote() {
     for count in [3, 5, 12] {
--- a/crates/consensus/tests/group/mod.rs
+++ b/crates/consensus/tests/group/mod.rs
@@ -10,6 +10,9 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 use types::{Command, EntryIncarnation, LogTime};
 
+/// Probability, per step, that a random replica creates a snapshot.
+const SNAPSHOT_PERCENT: u32 = 3;
+
 /// Probabilities and limits of the injected faults.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultPlan {
@@ -221,7 +224,7 @@
             self.process_effects(id);
         }
         self.deliver();
-        if self.rng.random_range(0..100) < 3 {
+        if self.rng.random_range(0..100) < SNAPSHOT_PERCENT {
             self.compact_random_replica();
         }
     }
--- a/crates/consensus/tests/safety.rs
+++ b/crates/consensus/tests/safety.rs
@@ -159,7 +159,8 @@
     assert!(changes.peek().is_none(), "the replacement is not complete after 4000 steps");
 }
 
-/// A replacement promoted before it holds all committed entries would lose them with the next disk.
+/// Guards against a replacement that becomes a voter before it holds all committed entries: if
+/// another disk is then lost, entries may be lost that were on that disk.
 #[test]
 fn second_disk_loss_after_a_replacement_loses_no_committed_entry() {
     for seed in 0..30 {
@@ -217,8 +218,8 @@
     assert_eq!(group.change_membership(&add(10)), refused);
 }
 
-/// A replica that lost its disk may have voted, or acknowledged entries, under its identity. Its
-/// replacement starts under a new identity without a vote, so it must not help to form a quorum.
+/// A replica that lost its disk may have voted, or acknowledged entries, under its old identity. Its
+/// replacement has a new identity that is not a member, so it must not count towards a quorum.
 #[test]
 fn replacement_with_an_empty_disk_has_no_vote() {
     let mut group = SimulatedGroup::new(3, 8, FaultPlan::NO_FAULTS);
@@ -277,7 +278,8 @@
     assert_eq!(core.commit(), LogIndex(3));
 }
 
-/// A leader sends entries before its own sync, and could lose them in a crash before that.
+/// A leader sends entries before it syncs them, and loses them if it crashes in between. Until then,
+/// it must not count itself towards the quorum.
 #[test]
 fn leader_counts_its_own_entries_only_once_they_are_durable() {
     let mut core = leader_with_entry_of_earlier_term();
