--- a/crates/peer/src/reach.rs
+++ b/crates/peer/src/connect.rs
@@ -4,12 +4,12 @@
 use std::{fmt::Display, time::Duration};
 use tokio::time::{Instant, interval, sleep_until};
 
-/// Interval between overlapping connection attempts. The first packet to a host without power is
-/// lost, and the kernel retransmits it only after a second.
+/// Interval between overlapping connection attempts. A packet to a host without power is lost, and
+/// the kernel retransmits it only after a second.
 pub const ATTEMPT_PERIOD: Duration = Duration::from_millis(100);
 
 /// Starts a connection attempt every [`ATTEMPT_PERIOD`] until the first one ends, successfully or
-/// not. Earlier attempts keep running, so that a slow host is not cut off.
+/// not. Earlier attempts keep running, so that a host that answers slowly is still reached.
 ///
 /// # Errors
 ///
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -4,17 +4,18 @@
 //! Other crates use the [`PeerLink`] and [`PeerHandler`] traits, so that tests can simulate link
 //! failures without a network.
 
+mod connect;
 mod error;
 mod frame;
 mod keys;
 mod link;
 mod message;
-mod node;
 mod packing;
-mod reach;
-mod stream_node;
+mod quic_node;
+mod tcp_node;
 mod tls;
 
+pub use connect::{ATTEMPT_PERIOD, connect_repeatedly};
 pub use error::PeerError;
 pub use frame::{MAX_FRAME_BYTES, decode_frame, encode_frame};
 pub use keys::{KeyError, KeyFiles, KeyIssuer};
@@ -23,8 +24,7 @@
     ConsensusMessage, FreshnessAnswer, FreshnessGrant, FreshnessRequest, PeerAnswer, PeerRequest,
     ReadIndexRequest, SubmitAnswer, ViewTransfer, replicas_digest,
 };
-pub use node::{LinkTraffic, QuicNode};
 pub use packing::PackedView;
-pub use reach::{ATTEMPT_PERIOD, connect_repeatedly};
-pub use stream_node::TcpNode;
+pub use quic_node::{LinkTraffic, QuicNode};
+pub use tcp_node::TcpNode;
 pub use tls::{TlsMaterial, operator_client_config, operator_server_config};
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -29,7 +29,7 @@
         timeout: Duration,
     ) -> Result<PeerAnswer, PeerError>;
 
-    /// Queues a message that has no answer. It may be lost.
+    /// Queues a one-way message, which may be lost.
     fn send(&self, target: &PeerTarget, request: PeerRequest);
 }
 
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -11,10 +11,10 @@
     ServerName, SuspectReport, ViewChange, ViewUpdate, ViewVersion,
 };
 
-/// A request, or a message that has no answer.
+/// A request or a one-way message. The variants of one-way messages say so.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Consensus message between replicas; has no answer.
+    /// Consensus message between replicas; one-way.
     Consensus(ConsensusMessage),
     /// Asks a replica to confirm that an entry's view is current.
     Freshness(FreshnessRequest),
@@ -22,19 +22,20 @@
     Submit(Command),
     /// Asks the leader to change the set of replicas.
     ChangeMembership(MembershipChange),
-    /// Heartbeat of a shard owner; has no answer.
+    /// Heartbeat of a shard owner; one-way.
     Beat(OwnerHeartbeat),
     /// Asks a shard owner for the changes of its registry.
     Registry(RegistryRequest),
     /// Forwards an announcement to the owner of the server's shard.
     Announce(Announcement),
-    /// Reports a suspected server to its shard owner; has no answer.
+    /// Reports a suspected server to its shard owner; one-way.
     Suspect(SuspectReport),
     /// Forwards a call to another entry.
     CallForward(CallRequest),
-    /// Asks the leader up to which index a follower must have applied the log to serve entries.
+    /// Asks the leader for the index up to which a follower must apply the log before it serves
+    /// entries.
     ReadIndex(ReadIndexRequest),
-    /// Reports to the leader which servers have announced themselves; has no answer.
+    /// Reports to the leader which servers have announced themselves; one-way.
     ServersSeen(Vec<(ServerName, ServerIncarnation)>),
 }
 
@@ -98,7 +99,7 @@
     pub replica: ReplicaId,
     /// Entries that the follower serves, with the versions of their views.
     pub entries: Vec<(EntryName, ViewVersion)>,
-    /// Entries that are missing from the follower's view, or differ from it.
+    /// Entries that are missing from the follower's view, or registered differently there.
     pub changed: Vec<EntryInfo>,
 }
 
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/quic_node.rs
@@ -1,8 +1,7 @@
 //! Links over QUIC.
 //!
-//! Each request runs on its own stream. Messages that have no answer share one ordered stream per
-//! peer, which is fed from a bounded queue; when the queue is full, messages are dropped, as on any
-//! lossy network.
+//! Each request runs on its own stream. One-way messages share one ordered stream per peer, fed from
+//! a bounded queue; when the queue is full, messages are dropped, as on any lossy network.
 
 use crate::{
     PeerAnswer, PeerError, PeerHandler, PeerLink, PeerRequest, PeerTarget, TlsMaterial,
@@ -22,7 +21,7 @@
 use tokio::{sync::mpsc, time::timeout};
 use types::HostName;
 
-/// Capacity of the queue of messages without answer to one peer.
+/// Capacity of the queue of one-way messages to one peer.
 const QUEUE_LIMIT: usize = 4096;
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
@@ -33,7 +32,7 @@
 /// Maximum number of concurrent requests on one connection; further requests wait. Bounded because
 /// the QUIC library reserves memory for each stream.
 const MAX_STREAMS: u32 = 256;
-/// Maximum number of concurrent streams of messages without answer on one connection.
+/// Maximum number of concurrent streams of one-way messages on one connection.
 const MAX_MESSAGE_STREAMS: u32 = 8;
 /// Round-trip time assumed for a new connection.
 const INITIAL_RTT: Duration = Duration::from_millis(10);
@@ -117,7 +116,7 @@
         self.endpoint.local_addr().map_err(bind_error)
     }
 
-    /// Returns the traffic so far, and forgets connections that have closed.
+    /// Returns the total traffic so far. Also stops tracking connections that have closed.
     pub fn traffic(&self) -> LinkTraffic {
         let mut totals = self.traffic.lock();
         let TrafficTotals { open, closed } = &mut *totals;
@@ -134,7 +133,7 @@
     }
 
     fn track_connection(&self, connection: &Connection) {
-        // Drops closed connections, so that the list does not grow without bound.
+        // Removes closed connections, so that the list does not grow without bound.
         self.traffic();
         self.traffic.lock().open.push(connection.clone());
     }
--- a/crates/peer/src/stream_node.rs
+++ b/crates/peer/src/tcp_node.rs
@@ -6,9 +6,9 @@
 
 use crate::{
     PeerAnswer, PeerError, PeerHandler, PeerLink, PeerRequest, PeerTarget,
+    connect::connect_repeatedly,
     frame::{MAX_FRAME_BYTES, decode_frame, encode_frame},
     packing::{compress_frame, decompress_frame},
-    reach::connect_repeatedly,
 };
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -46,10 +46,10 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Ping period. A ping is sent only if the connection was used since the last one.
 const PING_PERIOD: Duration = Duration::from_millis(400);
-/// Time without any frame after a ping that ends a connection. Longer than a slow peer needs to
-/// answer.
+/// Time without any frame after a ping, after which the connection is closed. Longer than a slow
+/// peer needs to answer.
 const PING_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time that sent data may stay unacknowledged before the kernel closes the connection.
+/// Time for which sent data may stay unacknowledged before the kernel closes the connection.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time after which an unused connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -57,11 +57,11 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Idle time before the first TCP keepalive probe, and interval between probes.
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
-/// Unanswered TCP keepalive probes after which the kernel closes the connection.
+/// Number of unanswered TCP keepalive probes after which the kernel closes the connection.
 const KEEPALIVE_RETRIES: u32 = 2;
 
 #[derive(Debug, Serialize, Deserialize)]
-enum StreamFrame {
+enum LinkFrame {
     Hello(HostName),
     Request(u64, PeerRequest),
     Notice(PeerRequest),
@@ -118,7 +118,7 @@
             return;
         }
         let (mut sink, mut frames) = framed(stream).split();
-        let Some(StreamFrame::Hello(host)) = self.read_frame(&mut frames).await else {
+        let Some(LinkFrame::Hello(host)) = self.read_frame(&mut frames).await else {
             self.counters.count("link-refused");
             return;
         };
@@ -133,24 +133,24 @@
         }));
         while let Some(frame) = self.read_frame(&mut frames).await {
             match frame {
-                StreamFrame::Request(id, request) => {
+                LinkFrame::Request(id, request) => {
                     let (node, handler) = (self.clone(), handler.clone());
                     let (host, answers) = (host.clone(), answers.clone());
                     tokio::spawn(async move {
                         let answer = handler.handle(&host, request).await;
-                        node.queue_frame(&answers, &StreamFrame::Answer(id, answer)).await;
+                        node.queue_frame(&answers, &LinkFrame::Answer(id, answer)).await;
                     });
                 }
-                StreamFrame::Notice(request) => {
+                LinkFrame::Notice(request) => {
                     handler.handle(&host, request).await;
                 }
-                StreamFrame::Ping => self.queue_frame(&answers, &StreamFrame::Pong).await,
-                StreamFrame::Hello(_) | StreamFrame::Answer(..) | StreamFrame::Pong => {}
+                LinkFrame::Ping => self.queue_frame(&answers, &LinkFrame::Pong).await,
+                LinkFrame::Hello(_) | LinkFrame::Answer(..) | LinkFrame::Pong => {}
             }
         }
     }
 
-    async fn queue_frame(&self, queue: &mpsc::Sender<Bytes>, frame: &StreamFrame) {
+    async fn queue_frame(&self, queue: &mpsc::Sender<Bytes>, frame: &LinkFrame) {
         match encode_frame(self.timeline.stamp(), frame) {
             // Fails if the connection has closed; the peer then retries on another one.
             Ok(frame) => {
@@ -163,7 +163,7 @@
     async fn read_frame(
         &self,
         frames: &mut (impl StreamExt<Item = io::Result<bytes::BytesMut>> + Unpin),
-    ) -> Option<StreamFrame> {
+    ) -> Option<LinkFrame> {
         let bytes = frames.next().await?.ok()?;
         let decoded = decompress_frame(&bytes).and_then(|frame| decode_frame(&frame).ok());
         match decoded {
@@ -191,7 +191,7 @@
         link
     }
 
-    /// Opens a connection and runs it until it ends, then fails all requests that still wait.
+    /// Opens a connection and runs it until it ends, then fails all pending requests.
     async fn run_link(
         self: Arc<Self>,
         address: SocketAddr,
@@ -228,10 +228,10 @@
         pending: &mut HashMap<u64, oneshot::Sender<Result<PeerAnswer, PeerError>>>,
     ) -> String {
         let (mut sink, mut frames) = framed(stream).split();
-        let hello = StreamFrame::Hello(self.host.clone());
+        let hello = LinkFrame::Hello(self.host.clone());
         let (Ok(hello), Ok(ping)) = (
             encode_frame(self.timeline.stamp(), &hello),
-            encode_frame(self.timeline.stamp(), &StreamFrame::Ping),
+            encode_frame(self.timeline.stamp(), &LinkFrame::Ping),
         ) else {
             return "the host name cannot be encoded".to_owned();
         };
@@ -257,7 +257,7 @@
                 frame = self.read_frame(&mut frames) => {
                     let Some(frame) = frame else { return "the peer closed".to_owned() };
                     ping_sent = None;
-                    if let StreamFrame::Answer(id, answer) = frame
+                    if let LinkFrame::Answer(id, answer) = frame
                         && let Some(reply) = pending.remove(&id)
                     {
                         // Fails if the requester has stopped waiting.
@@ -294,7 +294,7 @@
     ) -> Result<PeerAnswer, PeerError> {
         let address = target.address;
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let frame = encode_frame(self.timeline.stamp(), &StreamFrame::Request(id, request))?;
+        let frame = encode_frame(self.timeline.stamp(), &LinkFrame::Request(id, request))?;
         let frame = compress_frame(frame);
         let (reply, answer) = oneshot::channel();
         let outgoing = OutgoingFrame { frame, reply: Some((id, reply)) };
@@ -313,7 +313,7 @@
     }
 
     fn send(&self, target: &PeerTarget, request: PeerRequest) {
-        let frame = encode_frame(self.timeline.stamp(), &StreamFrame::Notice(request));
+        let frame = encode_frame(self.timeline.stamp(), &LinkFrame::Notice(request));
         let is_queued = frame.is_ok_and(|frame| {
             let outgoing = OutgoingFrame { frame: compress_frame(frame), reply: None };
             self.link(target.address).try_send(outgoing).is_ok()
--- a/crates/peer/tests/tls.rs
+++ b/crates/peer/tests/tls.rs
@@ -42,13 +42,13 @@
 async fn only_hosts_of_the_same_authority_under_their_own_names_are_accepted() {
     let folder = tempdir().expect("folder");
     let path = |name: &str| folder.path().join(name);
-    let ours = KeyIssuer::open(&path("ours")).expect("authority");
-    let theirs = KeyIssuer::open(&path("theirs")).expect("authority");
-    ours.issue_host("server", 30, &path("server")).expect("issued");
-    ours.issue_host("trusted", 30, &path("trusted")).expect("issued");
-    ours.issue_host("expired", -1, &path("expired")).expect("issued");
-    ours.issue_operator("operator", 30, &path("operator")).expect("issued");
-    theirs.issue_host("trusted", 30, &path("foreign")).expect("issued");
+    let own_issuer = KeyIssuer::open(&path("ours")).expect("authority");
+    let foreign_issuer = KeyIssuer::open(&path("theirs")).expect("authority");
+    own_issuer.issue_host("server", 30, &path("server")).expect("issued");
+    own_issuer.issue_host("trusted", 30, &path("trusted")).expect("issued");
+    own_issuer.issue_host("expired", -1, &path("expired")).expect("issued");
+    own_issuer.issue_operator("operator", 30, &path("operator")).expect("issued");
+    foreign_issuer.issue_host("trusted", 30, &path("foreign")).expect("issued");
 
     let (server, counters) = node(&path("server"));
     let address = server.address().expect("bound");
