--- a/crates/consensus/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -8,9 +8,8 @@
 use thiserror::Error;
 use types::LogTime;
 
-/// Upper bound of the startup rank, in ticks. A group of five voters tolerates the loss of two; even
-/// then, the third voter starts its first election before the voters of lower rank start their
-/// second.
+/// Upper bound of the startup rank, in ticks. A group of five voters tolerates the loss of two. Even
+/// then the third voter starts its first election before the voters ahead of it start a second.
 const MAX_STARTUP_RANK: u32 = 3;
 
 /// Settings of the core. One tick is one call of [`Consensus::tick`].
@@ -409,8 +408,8 @@
         }
     }
 
-    /// Answers an append, a snapshot or a pre-vote of an earlier term with the current term, so that
-    /// a stale leader steps down. Ignores all other messages.
+    /// Answers an append, snapshot or pre-vote of an earlier term with the current term, so that a
+    /// stale leader steps down. Ignores all other messages.
     fn handle_stale_message(&mut self, envelope: &Envelope) {
         match envelope.message {
             Message::Append { round, .. } | Message::Install { round, .. } => {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -5,8 +5,8 @@
 use thiserror::Error;
 use types::HostName;
 
-/// Identity of a replica, stored in its data folder. Random, except that a seed which starts for the
-/// first time uses a hash of its address.
+/// Identity of a replica, stored in its data folder. Generated at random for an empty folder, except
+/// that at the first start of the system each seed uses a hash of its address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReplicaId(pub u64);
 
--- a/crates/consensus/tests/safety.rs
+++ b/crates/consensus/tests/safety.rs
@@ -218,7 +218,7 @@
     assert_eq!(group.change_membership(&add(10)), refused);
 }
 
-/// A replica that lost its disk may have voted, or acknowledged entries, under its old identity. Its
+/// A replica that lost its disk may have voted or acknowledged entries under its old identity. Its
 /// replacement has a new identity that is not a member, so it must not count towards a quorum.
 #[test]
 fn replacement_with_an_empty_disk_has_no_vote() {
@@ -278,8 +278,8 @@
     assert_eq!(core.commit(), LogIndex(3));
 }
 
-/// A leader sends entries before it syncs them, and loses them if it crashes in between. Until then,
-/// it must not count itself towards the quorum.
+/// A leader sends entries before it syncs them, and loses them if it crashes in between. Until the
+/// sync, it must not count itself towards the quorum.
 #[test]
 fn leader_counts_its_own_entries_only_once_they_are_durable() {
     let mut core = leader_with_entry_of_earlier_term();
--- a/crates/replica/src/driver.rs
+++ b/crates/replica/src/driver.rs
@@ -129,7 +129,7 @@
     entry_leases: EntryLeases,
     server_leases: ServerLeases,
     was_leader: bool,
-    /// A tick has passed since the last quorum round. One round serves all reads of a tick.
+    /// Whether a tick has passed since the last quorum round. One round serves all reads of a tick.
     is_round_due: bool,
     snapshot_bytes: u64,
     /// Reply addresses of message senders, including those that are not members.
@@ -370,7 +370,7 @@
         }
     }
 
-    /// Ends all pending requests, whose outcome this replica can no longer determine.
+    /// Ends all pending requests, since this replica can no longer determine their outcome.
     fn fail_pending(&mut self) {
         for pending in std::mem::take(&mut self.pending_commands).into_values() {
             send_reply(pending.reply, SubmitAnswer::Unknown);
@@ -381,6 +381,7 @@
         for reply in std::mem::take(&mut self.pending_index_reads).into_values() {
             send_reply(reply, None);
         }
+        // The latest possible deadline, so that all parked requests expire.
         self.expire_parked(Instant::now() + self.settings.leader_wait);
         self.redirect_relays();
         self.ready_reads.clear();
--- a/crates/replica/src/driver/effects.rs
+++ b/crates/replica/src/driver/effects.rs
@@ -10,8 +10,8 @@
 use types::{ChangeAction, Command, CommandAnswer};
 
 impl ReplicaDriver {
-    /// Executes all effects of the consensus core and those that they cause in turn. Effects whose
-    /// disk write failed come first.
+    /// Executes all effects of the consensus core, and those that result from executing them. If a
+    /// disk write failed before, its effects are retried first.
     pub(super) fn process_effects(&mut self) {
         if let Some(effects) = self.stalled.take()
             && !self.apply_effects(effects)
--- a/crates/replica/src/driver/reads.rs
+++ b/crates/replica/src/driver/reads.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Restarts the parked requests once a leader is known. Returns whether there were any and this
-    /// replica is the leader, so that it has to serve them.
+    /// Restarts the parked requests once a leader is known. Returns true if there were any and this
+    /// replica is the leader, which then has to serve them.
     pub(super) fn resume_parked(&mut self) -> bool {
         if self.parked.is_empty() || self.core.leader() == LeaderHint(None) {
             return false;
--- a/crates/replica/src/driver/relays.rs
+++ b/crates/replica/src/driver/relays.rs
@@ -22,8 +22,8 @@
 /// Minimum interval between read index requests. Does not apply while an entry without a view is
 /// waiting. Entries poll every 250 ms, so the interval adds little delay.
 const MIN_RELAY_INTERVAL: Duration = Duration::from_millis(100);
-/// How often the leader receives a report about each entry served here; a fraction of the entry's
-/// lease.
+/// Period of the reports to the leader about each entry served by this follower; a fraction of the
+/// entry's lease.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Entry requests that this follower serves with a read index from the leader.
@@ -135,7 +135,7 @@
         let is_ready = |(index, _): &mut (LogIndex, PendingFreshness)| *index <= applied;
         let ready: Vec<_> = self.relays.awaiting_apply.extract_if(.., is_ready).collect();
         ready.into_iter().for_each(|(_, pending)| self.send_grant(pending));
-        // Drops requests whose entries have stopped waiting.
+        // Drops requests whose senders no longer wait for an answer.
         self.relays.awaiting_apply.retain(|(_, pending)| !pending.reply.is_closed());
     }
 
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -13,8 +13,8 @@
     pub is_initialised: bool,
     /// Whether the replica is the leader.
     pub is_leader: bool,
-    /// Whether writes to the disk fail, in which case the replica rejects requests and takes no part
-    /// in consensus.
+    /// Whether writes to the disk fail. The replica then rejects requests and takes no part in
+    /// consensus.
     pub is_stalled: bool,
     /// Current term.
     pub term: u64,
@@ -22,7 +22,7 @@
     pub commit: u64,
     /// The leader, if known.
     pub leader: Option<ReplicaId>,
-    /// All known replicas. Only the leader reports their lag.
+    /// All members of the group. Only the leader reports their lag.
     pub members: Vec<MemberStatus>,
     /// Version of the view.
     pub view: ViewVersion,
--- a/crates/replica/tests/driver.rs
+++ b/crates/replica/tests/driver.rs
@@ -187,27 +187,30 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_leader_confirms_no_view_and_accepts_no_change() {
     let cluster = Cluster::start(3).await;
-    let old = cluster.leader().await;
-    let granted = cluster.nodes[old].handle.freshness(freshness_request()).await;
+    let old_leader = cluster.leader().await;
+    let granted = cluster.nodes[old_leader].handle.freshness(freshness_request()).await;
     assert!(matches!(granted, FreshnessAnswer::Granted(_)), "{granted:?}");
-    cluster.isolate(old);
+    cluster.isolate(old_leader);
     // Sent right after the partition, while the old leader still believes that it leads.
     let (view, change) = tokio::join!(
-        cluster.nodes[old].handle.freshness(freshness_request()),
-        cluster.nodes[old].handle.submit(drain(1, 0)),
+        cluster.nodes[old_leader].handle.freshness(freshness_request()),
+        cluster.nodes[old_leader].handle.submit(drain(1, 0)),
     );
     assert!(matches!(view, FreshnessAnswer::NotLeader(_)), "{view:?}");
     assert!(!is_accepted(&change, 1), "{change:?}");
-    let new = cluster.leader().await;
-    assert_ne!(new, old);
-    let change = cluster.nodes[new].handle.submit(drain(2, 0)).await;
+    let new_leader = cluster.leader().await;
+    assert_ne!(new_leader, old_leader);
+    let change = cluster.nodes[new_leader].handle.submit(drain(2, 0)).await;
     assert!(is_accepted(&change, 1), "{change:?}");
     cluster.nodes.iter().for_each(|node| node.switch.heal());
     pause(1_500).await;
-    let view = cluster.nodes[old].handle.view();
+    let view = cluster.nodes[old_leader].handle.view();
     assert!(view.is_drained(&"d".parse().expect("valid")), "the old leader follows");
-    let status = cluster.nodes[old].handle.status().await.expect("runs");
-    assert_eq!(status.commit, cluster.nodes[new].handle.status().await.expect("runs").commit);
+    let status = cluster.nodes[old_leader].handle.status().await.expect("runs");
+    assert_eq!(
+        status.commit,
+        cluster.nodes[new_leader].handle.status().await.expect("runs").commit
+    );
 }
 
 /// Guards against slow recovery after a power loss on all hosts: entries whose requests came
