--- a/crates/ctl/src/keys.rs
+++ b/crates/ctl/src/keys.rs
@@ -7,11 +7,11 @@
 pub fn run(command: &KeysCommand) -> Result<(), CtlError> {
     let usage = |error: peer::KeyError| CtlError::Usage(error.to_string());
     let (KeysCommand::Host(key) | KeysCommand::Operator(key)) = command;
-    let forge = KeyIssuer::open(&key.authority).map_err(usage)?;
+    let issuer = KeyIssuer::open(&key.authority).map_err(usage)?;
     let name = key.name.as_str();
     match command {
-        KeysCommand::Host(_) => forge.issue_host(name, key.days, &key.out),
-        KeysCommand::Operator(_) => forge.issue_operator(name, key.days, &key.out),
+        KeysCommand::Host(_) => issuer.issue_host(name, key.days, &key.out),
+        KeysCommand::Operator(_) => issuer.issue_operator(name, key.days, &key.out),
     }
     .map_err(usage)?;
     println!("{}", key.out.display());
--- a/crates/ctl/src/replicas.rs
+++ b/crates/ctl/src/replicas.rs
@@ -32,7 +32,7 @@
     if members.is_empty() {
         return Err(CtlError::Usage("none of the endpoints is a replica".to_owned()));
     }
-    // No replica is bootstrapped unless each is empty or already belongs to this same group.
+    // No replica is bootstrapped unless each is empty or already belongs to this group.
     for (_, page) in &pages {
         check_group(page, &members)?;
     }
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// Returns an error if the page's replica belongs to another group.
+/// Returns an error if the page's replica belongs to a group with other members.
 fn check_group(page: &StatusPage, members: &[Member]) -> Result<(), CtlError> {
     let Some(replica) = page.replica.as_ref().filter(|replica| replica.is_initialised) else {
         return Ok(());
@@ -53,7 +53,7 @@
     if is_same {
         return Ok(());
     }
-    let reason = format!("{} already belongs to another group; use `replica add`", page.process);
+    let reason = format!("{} already belongs to a group; use `replica add`", page.process);
     Err(CtlError::RefusedRequest(reason))
 }
 
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -45,12 +45,12 @@
     async fn start() -> Self {
         let folder = tempfile::tempdir().expect("folder");
         let path = |name: &str| folder.path().join(name);
-        let forge = KeyIssuer::open(&path("authority")).expect("authority");
-        forge.issue_operator("ana", 30, &path("ana")).expect("issued");
+        let issuer = KeyIssuer::open(&path("authority")).expect("authority");
+        issuer.issue_operator("ana", 30, &path("ana")).expect("issued");
         let mut settings: Vec<ProcessSettings> = Vec::new();
         for (number, domain) in [(1, "kranj"), (2, "celje")] {
             let name = format!("host-{number}");
-            forge.issue_host(&name, 30, &path(&name)).expect("issued");
+            issuer.issue_host(&name, 30, &path(&name)).expect("issued");
             let [peer, caller, server, operator] = free_addresses().expect("ports");
             let replica = settings.first().map_or(peer, |first| first.peer_address);
             let entry_only = vec![ProcessRole::Entry];
@@ -186,10 +186,10 @@
 async fn only_valid_operator_certificates_are_accepted() {
     let fixture = CtlFixture::start().await;
     let endpoint = format!("host-1={}", fixture.settings[0].operator_address);
-    let foreign_forge = KeyIssuer::open(&fixture.path("theirs")).expect("authority");
-    foreign_forge.issue_operator("ana", 30, &fixture.path("stranger")).expect("issued");
-    let forge = KeyIssuer::open(&fixture.path("authority")).expect("authority");
-    forge.issue_operator("old", -1, &fixture.path("expired")).expect("issued");
+    let foreign_issuer = KeyIssuer::open(&fixture.path("theirs")).expect("authority");
+    foreign_issuer.issue_operator("ana", 30, &fixture.path("stranger")).expect("issued");
+    let issuer = KeyIssuer::open(&fixture.path("authority")).expect("authority");
+    issuer.issue_operator("old", -1, &fixture.path("expired")).expect("issued");
     for keys in ["host-2", "stranger", "expired"] {
         let keys = fixture.path(keys);
         let (code, output) =
@@ -225,7 +225,7 @@
 
     // The server of the bookings is cold, so an entry that does not own it forwards the booking to
     // the owner. One of the two entries is not the owner.
-    let mut booked = Vec::new();
+    let mut booking_keys = Vec::new();
     for entry in entries {
         let key = new_key();
         let request = || {
@@ -238,10 +238,10 @@
             answer.is_ok_and(|answer| answer.header(header::OUTCOME) == "ran")
         })
         .await;
-        booked.push(key);
+        booking_keys.push(key);
     }
     let mut is_forwarded = false;
-    for key in &booked {
+    for key in &booking_keys {
         let (code, output) = fixture.ctl(&["timeline", "--request", key]).await;
         assert_eq!(code, 0, "{output}");
         let position = |kind: &str| output.find(kind);
--- a/crates/daemon/src/settings_page.rs
+++ b/crates/daemon/src/settings_page.rs
@@ -7,7 +7,7 @@
 failure_domain = "domain-1"
 # Roles: "entry" serves callers, "replica" keeps the replicated state.
 roles = ["entry", "replica"]
-# Folder with all files of the process; needed for the replica role.
+# Folder with all files of the process; required for the replica role.
 data_folder = "data"
 # Folder made by `hawthornctl keys host`.
 key_folder = "keys/host-1"
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -92,7 +92,7 @@
 /// Sends `count` bookings, each up to 12 times at the entries in turn until its outcome is `ran`, while
 /// `fault` runs. Checks that no booking ran twice, and that none ran if all its answers or the last one
 /// were `not-run`.
-async fn book_under_faults(
+async fn send_bookings_under_faults(
     system: &TestSystem,
     servers: &[&testkit::FakeServer],
     count: usize,
@@ -142,13 +142,13 @@
     system.wait_until_served(0, "book").await;
     let leader = system.leader().await;
     system.group.kill(leader).expect("killed");
-    book_under_faults(&system, &[&first, &second], 60, async {}).await;
+    send_bookings_under_faults(&system, &[&first, &second], 60, async {}).await;
     system.group.spawn(leader).expect("starts");
     system.wait_until_served(leader, "book").await;
     let next = system.leader().await;
     system.group.signal(next, "STOP").expect("SIGSTOP is sent");
     let group = &system.group;
-    book_under_faults(&system, &[&first, &second], 60, async {
+    send_bookings_under_faults(&system, &[&first, &second], 60, async {
         sleep_ms(4_000).await;
         group.signal(next, "CONT").expect("SIGCONT is sent");
     })
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -2,6 +2,7 @@
 //! links that simulate network partitions, and groups of real processes. Not part of a release.
 
 mod announcer;
+mod atomic_write;
 mod behaviour;
 mod fake_server;
 mod http_client;
@@ -11,9 +12,9 @@
 mod process_group;
 mod selectors;
 mod system;
-mod whole_file;
 
 pub use announcer::announce;
+pub use atomic_write::write_atomically;
 pub use behaviour::{FakeBehaviour, FakeMode, FakeStats, LoadReport};
 pub use fake_server::{FakeServer, FakeServerSettings};
 pub use http_client::{HttpAnswer, HttpClient, HttpRequest};
@@ -25,4 +26,3 @@
 pub use system::{
     TestSystem, execution_count, new_key, outcome, sleep_ms, test_document, wait_until,
 };
-pub use whole_file::write_atomically;
--- a/crates/testkit/src/process_group.rs
+++ b/crates/testkit/src/process_group.rs
@@ -62,14 +62,14 @@
     pub fn start(settings: GroupSettings) -> io::Result<Self> {
         let count = settings.replicas.max(settings.entries);
         let authority = settings.folder.join("authority");
-        let forge = KeyIssuer::open(&authority).map_err(io::Error::other)?;
+        let issuer = KeyIssuer::open(&authority).map_err(io::Error::other)?;
         let operator = settings.folder.join("operator");
-        forge.issue_operator("operator", 30, &operator).map_err(io::Error::other)?;
+        issuer.issue_operator("operator", 30, &operator).map_err(io::Error::other)?;
         let mut processes = Vec::with_capacity(count);
         for index in 0..count {
             let name = format!("host-{}", index + 1);
             let keys = settings.folder.join("keys").join(&name);
-            forge.issue_host(&name, 30, &keys).map_err(io::Error::other)?;
+            issuer.issue_host(&name, 30, &keys).map_err(io::Error::other)?;
             let [peer, caller, server, operator] = free_addresses()?;
             let domain = settings.domains[index % settings.domains.len()].clone();
             let child = None;
