--- a/crates/consensus/tests/safety.rs
+++ b/crates/consensus/tests/safety.rs
@@ -159,8 +159,8 @@
     assert!(changes.peek().is_none(), "the replacement is not complete after 4000 steps");
 }
 
-/// Guards against a replacement that becomes a voter before it holds all committed entries: if
-/// another disk is then lost, entries may be lost that were on that disk.
+/// Guards against a replacement that becomes a voter before it holds all committed entries: the loss
+/// of another disk could then lose some of them.
 #[test]
 fn second_disk_loss_after_a_replacement_loses_no_committed_entry() {
     for seed in 0..30 {
