--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -12,16 +12,17 @@
     CommandAnswer,
 };
 
-/// Time after which an entry stops trying to record the end of a claim.
+/// Time after which an entry stops trying to release or finish a claim.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(CLAIM_RETENTION_MS);
 
 /// The reason why a claim was not decided.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ClaimError {
-    /// The deadline passed; the claim may still be granted.
+    /// No usable answer by the deadline, or an answer of another type; the claim may still be
+    /// granted.
     #[error("the claim could not be decided in time")]
     Undecided,
-    /// The leader refused the claim.
+    /// The leader refused the claim. Contains the reason.
     #[error("the claim was refused: {0}")]
     Refused(String),
 }
@@ -55,11 +56,12 @@
         Self { leader }
     }
 
-    /// Submits a command until it is applied, refused or too old to matter.
+    /// Submits a command in a task until it is applied or refused, or `RECORD_TIMEOUT` has passed.
     fn submit_in_background(&self, command: Command) {
         let leader = self.leader.clone();
         tokio::spawn(async move {
-            // The replicas drop the claim after this time in any case.
+            // Soon after `CLAIM_RETENTION_MS` the replicas drop the claim and refuse its key as too
+            // old, so a later command has no effect.
             let _ = leader.submit(command, Instant::now() + RECORD_TIMEOUT).await;
         });
     }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::{
     EntryContext,
     active_call::{ActiveCall, CallSource},
-    attempts::{AttemptEnd, AttemptRunner},
+    attempts::{AttemptResult, AttemptRunner},
     catalog::ServerCatalog,
     claims::ClaimLedger,
     context::{duration_ms, remaining_ms},
@@ -150,7 +150,7 @@
             return answer;
         }
         let mut excluded: SmallVec<[ServerName; 2]> = SmallVec::new();
-        let mut last = AttemptEnd::NotRun("no try yet".to_owned());
+        let mut last = AttemptResult::NotRun("no try yet".to_owned());
         for number in 0..MAX_ATTEMPTS {
             if number > 0 && !self.may_retry(active, &last) {
                 break;
@@ -166,7 +166,7 @@
             };
             excluded.push(permit.server.name.clone());
             last = self.run_hedged(active, permit, &excluded).await;
-            if let AttemptEnd::Answered(answer) = last {
+            if let AttemptResult::Answered(answer) = last {
                 return answer;
             }
             let detail = format!("{last:?}");
@@ -183,14 +183,14 @@
         active: &ActiveCall,
         permit: ServerPermit,
         excluded: &[ServerName],
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let started = Instant::now();
         let half_time = active.deadline.saturating_duration_since(started) / 2;
         let first = self.runner.run(active, permit);
         tokio::pin!(first);
         if let Some(delay) = active.pool.hedge_delay().filter(|delay| *delay < half_time) {
             tokio::select! {
-                end = &mut first => return end,
+                result = &mut first => return result,
                 () = sleep_until((started + delay).into()) => {}
             }
             if active.pool.take_hedge() {
@@ -198,7 +198,7 @@
             }
         }
         tokio::select! {
-            end = &mut first => return end,
+            result = &mut first => return result,
             () = sleep_until((started + half_time).into()) => {}
         }
         if active.pool.take_retry() {
@@ -213,9 +213,9 @@
     async fn race_second_attempt(
         &self,
         active: &ActiveCall,
-        mut first: Pin<&mut (impl Future<Output = AttemptEnd> + Send)>,
+        mut first: Pin<&mut (impl Future<Output = AttemptResult> + Send)>,
         excluded: &[ServerName],
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let Some(permit) = active.pool.try_acquire(excluded) else {
             return first.await;
         };
@@ -225,12 +225,12 @@
         let second = self.runner.run(active, permit);
         tokio::pin!(second);
         tokio::select! {
-            end = &mut first => match end {
-                AttemptEnd::Answered(_) => end,
+            result = &mut first => match result {
+                AttemptResult::Answered(_) => result,
                 _ => second.await,
             },
-            end = &mut second => match end {
-                AttemptEnd::Answered(_) => end,
+            result = &mut second => match result {
+                AttemptResult::Answered(_) => result,
                 _ => first.await,
             },
         }
@@ -238,13 +238,13 @@
 
     /// Returns whether the request may be retried after this result, and takes a retry from the
     /// budget if so.
-    fn may_retry(&self, active: &ActiveCall, last: &AttemptEnd) -> bool {
+    fn may_retry(&self, active: &ActiveCall, last: &AttemptResult) -> bool {
         if Instant::now() >= active.deadline {
             return false;
         }
         match last {
-            AttemptEnd::Closed | AttemptEnd::Late | AttemptEnd::Answered(_) => false,
-            AttemptEnd::NotRun(_) | AttemptEnd::Unknown(_) => {
+            AttemptResult::Closed | AttemptResult::Late | AttemptResult::Answered(_) => false,
+            AttemptResult::NotRun(_) | AttemptResult::Unknown(_) => {
                 let is_granted = active.pool.take_retry();
                 let decision = if is_granted { "retried" } else { "retry-refused" };
                 self.context.counters.calls.count(decision);
@@ -275,7 +275,7 @@
         &self,
         active: &ActiveCall,
         owners: SmallVec<[EntryName; 2]>,
-        last: AttemptEnd,
+        last: AttemptResult,
     ) -> CallAnswer {
         if active.source == CallSource::Caller {
             for owner in owners {
@@ -287,21 +287,23 @@
             }
         }
         match last {
-            AttemptEnd::NotRun(_) => self.refuse_busy(None, CLOSED_RETRY_AFTER),
+            AttemptResult::NotRun(_) => self.refuse_busy(None, CLOSED_RETRY_AFTER),
             last => self.final_answer(last),
         }
     }
 
     /// Returns the answer to a request that is not retried after its last attempt.
-    fn final_answer(&self, last: AttemptEnd) -> CallAnswer {
+    fn final_answer(&self, last: AttemptResult) -> CallAnswer {
         match last {
-            AttemptEnd::Answered(answer) => answer,
-            AttemptEnd::Closed => self.refuse_closed(None),
-            AttemptEnd::NotRun(reason) => CallAnswer::refusal(503, CallOutcome::NotRun, &reason)
+            AttemptResult::Answered(answer) => answer,
+            AttemptResult::Closed => self.refuse_closed(None),
+            AttemptResult::NotRun(reason) => CallAnswer::refusal(503, CallOutcome::NotRun, &reason)
                 .with_retry_after(self.retry_after_ms(Duration::ZERO)),
-            AttemptEnd::Unknown(reason) => CallAnswer::refusal(502, CallOutcome::Unknown, &reason)
-                .with_retry_after(self.retry_after_ms(Duration::ZERO)),
-            AttemptEnd::Late => {
+            AttemptResult::Unknown(reason) => {
+                CallAnswer::refusal(502, CallOutcome::Unknown, &reason)
+                    .with_retry_after(self.retry_after_ms(Duration::ZERO))
+            }
+            AttemptResult::Late => {
                 CallAnswer::refusal(504, CallOutcome::Unknown, "no answer by the deadline")
                     .with_retry_after(self.retry_after_ms(Duration::ZERO))
             }
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -4,7 +4,7 @@
 use crate::{
     EntryContext,
     active_call::{ActiveCall, CallSource},
-    attempts::{AttemptEnd, AttemptRunner},
+    attempts::{AttemptResult, AttemptRunner},
     claims::{ClaimError, ClaimLedger},
     relay::{CallForwarder, ForwardResult, MAX_ATTEMPTS, unclaimed_outcome, with_idempotency_key},
     service_pool::AcquireError,
@@ -95,32 +95,34 @@
             }
         }
         match self.run_attempts(active).await {
-            AttemptEnd::Answered(answer) => {
+            AttemptResult::Answered(answer) => {
                 let status = answer.status;
                 let ClaimRequest { key, attempt, .. } = claim;
                 self.ledger.finish(ClaimResult { key, attempt, status });
                 answer
             }
-            AttemptEnd::NotRun(reason) => {
+            AttemptResult::NotRun(reason) => {
                 self.release(&active.call, &claim);
                 CallAnswer::refusal(503, CallOutcome::NotRun, &reason)
                     .with_retry_after(forwarder.retry_after_ms(Duration::ZERO))
             }
-            AttemptEnd::Closed => {
+            AttemptResult::Closed => {
                 self.release(&active.call, &claim);
                 forwarder.refuse_closed(None)
             }
-            AttemptEnd::Unknown(reason) => CallAnswer::refusal(502, CallOutcome::Unknown, &reason),
-            AttemptEnd::Late => {
+            AttemptResult::Unknown(reason) => {
+                CallAnswer::refusal(502, CallOutcome::Unknown, &reason)
+            }
+            AttemptResult::Late => {
                 CallAnswer::refusal(504, CallOutcome::Unknown, "no answer by the deadline")
             }
         }
     }
 
     /// Sends a request with a granted claim to one server after another, until one may have run it.
-    async fn run_attempts(&self, active: &ActiveCall) -> AttemptEnd {
+    async fn run_attempts(&self, active: &ActiveCall) -> AttemptResult {
         let mut excluded: SmallVec<[ServerName; 2]> = SmallVec::new();
-        let mut last = AttemptEnd::NotRun("no server has room".to_owned());
+        let mut last = AttemptResult::NotRun("no server has room".to_owned());
         for _ in 0..MAX_ATTEMPTS {
             if Instant::now() >= active.deadline {
                 return last;
@@ -133,7 +135,7 @@
             };
             excluded.push(permit.server.name.clone());
             last = self.runner.run(active, permit).await;
-            if !matches!(last, AttemptEnd::NotRun(_)) {
+            if !matches!(last, AttemptResult::NotRun(_)) {
                 return last;
             }
             let detail = format!("{last:?}");
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -92,10 +92,10 @@
 }
 
 impl ServerPermit {
-    /// Releases the permit with the outcome of the attempt and the load that the server reported.
-    pub(crate) fn finish(mut self, outcome: AttemptOutcome, load: &ServerReport) {
+    /// Releases the permit with the outcome of the attempt and the server's report.
+    pub(crate) fn finish(mut self, outcome: AttemptOutcome, report: &ServerReport) {
         self.is_finished = true;
-        self.pool.clone().release(&self.server, outcome, load);
+        self.pool.clone().release(&self.server, outcome, report);
     }
 }
 
@@ -333,33 +333,33 @@
         self: Arc<Self>,
         server: &PickedServer,
         outcome: AttemptOutcome,
-        load: &ServerReport,
+        report: &ServerReport,
     ) {
-        let notes = {
+        let release_outcome = {
             let mut state = self.state.lock();
             if let AttemptOutcome::Success(latency) = outcome {
                 state.latency.record(latency);
             }
-            state.load.release(server, outcome, load, Instant::now())
+            state.load.release(server, outcome, report, Instant::now())
         };
-        self.report(server, &notes);
+        self.report_outcome(server, &release_outcome);
         self.serve_waiting();
     }
 
-    /// Reports the conclusions from an attempt to the observer and the event timeline.
-    fn report(&self, server: &PickedServer, notes: &ReleaseOutcome) {
+    /// Reports the conclusions from an attempt to the catalog and the event timeline.
+    fn report_outcome(&self, server: &PickedServer, outcome: &ReleaseOutcome) {
         let Some(observer) = self.observer.upgrade() else {
             return;
         };
-        if notes.is_warm {
+        if outcome.is_warm {
             observer.server_warmed(&server.name, server.incarnation);
         }
-        if notes.is_slow {
+        if outcome.is_slow {
             self.context.counters.servers.count("slow");
             let detail = "slow".to_owned();
             self.context.record_server(EventKind::ServerSuspected, &server.name, detail);
         }
-        if let Some(kind) = notes.suspicion {
+        if let Some(kind) = outcome.suspicion {
             let detail = format!("{kind:?}");
             self.context.record_server(EventKind::ServerSuspected, &server.name, detail);
             observer.server_suspected(server, kind);
@@ -392,9 +392,9 @@
             if let Err(mut unused) = request.sender.send(permit) {
                 unused.is_finished = true;
                 let mut state = self.state.lock();
-                let load = ServerReport::default();
+                let report = ServerReport::default();
                 let now = Instant::now();
-                state.load.release(&unused.server, AttemptOutcome::Cancelled, &load, now);
+                state.load.release(&unused.server, AttemptOutcome::Cancelled, &report, now);
             }
         }
     }
