--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -4,8 +4,8 @@
 use crate::{
     EntryContext,
     context::INITIAL_VERSION,
-    owned_shards::OwnedShards,
-    service_pool::{HeartbeatClock, PoolTable, ServerObserver},
+    owned_ranges::OwnedRanges,
+    service_pool::{ConfirmationClock, PoolCatalog, PoolTable},
 };
 use async_trait::async_trait;
 use parking_lot::{Mutex, RwLock};
@@ -31,7 +31,7 @@
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
 /// Period of announcements, which servers receive in [`AnnounceAnswer::period_ms`].
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(3);
-/// Time allowed for a message to a shard owner.
+/// Time allowed for a request to an owner.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between two pulls of a long delta. It limits the traffic when many servers change.
 const PULL_PAUSE: Duration = Duration::from_millis(50);
@@ -44,9 +44,9 @@
 pub(crate) struct ServerCatalog {
     context: Arc<EntryContext>,
     link: Arc<dyn PeerLink>,
-    shards: OwnedShards,
+    ranges: OwnedRanges,
     directory: Mutex<ServerDirectory>,
-    clocks: RwLock<HashMap<EntryName, Arc<HeartbeatClock>>>,
+    clocks: RwLock<HashMap<EntryName, Arc<ConfirmationClock>>>,
     active_pulls: Mutex<BTreeSet<EntryName>>,
     /// Held while pools are updated, so that older data never overwrites newer data.
     refresh_lock: Mutex<()>,
@@ -63,14 +63,14 @@
         settings: LoadSettings,
     ) -> Arc<Self> {
         Arc::new_cyclic(|weak_self: &Weak<Self>| {
-            let observer: Weak<dyn ServerObserver> = weak_self.clone();
+            let pool_catalog: Weak<dyn PoolCatalog> = weak_self.clone();
             Self {
-                shards: OwnedShards::new(context.clone()),
+                ranges: OwnedRanges::new(context.clone()),
                 directory: Mutex::default(),
                 clocks: RwLock::default(),
                 active_pulls: Mutex::default(),
                 refresh_lock: Mutex::default(),
-                pools: PoolTable::new(context.clone(), observer, settings),
+                pools: PoolTable::new(context.clone(), pool_catalog, settings),
                 started: Instant::now(),
                 context,
                 link,
@@ -83,25 +83,25 @@
     pub(crate) async fn run(self: Arc<Self>) {
         let mut ticks = self.context.timer.subscribe(HEARTBEAT_PERIOD);
         while ticks.tick().await.is_some() {
-            // While the view is not fresh, another entry may already own these shards.
+            // While the view is not fresh, another entry may already own these ranges.
             if !self.context.is_open() {
                 continue;
             }
-            for server in self.shards.expire() {
+            for server in self.ranges.expire() {
                 let detail = "announcements ran out".to_owned();
                 self.context.record_server(EventKind::ServerGone, &server, detail);
             }
             self.publish();
-            self.refresh_pools(self.shards.cold_services());
+            self.refresh_pools(self.ranges.cold_services());
         }
     }
 
-    /// Applies a new view to the owned shards, the directory and the pools.
+    /// Applies a new view to the owned ranges, the directory and the pools.
     pub(crate) fn view_changed(&self, view: &ClusterView) {
         let mut services: BTreeSet<ServiceName> = self.pools.services().into_iter().collect();
         {
             let mut directory = self.directory.lock();
-            self.shards.view_changed(view, &directory.all_records());
+            self.ranges.view_changed(view, &directory.all_records());
             services.extend(directory.retain_entries(view));
             services.extend(directory.services().cloned());
         }
@@ -110,7 +110,8 @@
         self.send_heartbeats(view);
     }
 
-    /// Handles a heartbeat of another entry. Starts a pull if the directory is behind its registry.
+    /// Handles a heartbeat of another entry. Starts a pull if the directory lacks changes of that
+    /// entry's registry.
     pub(crate) fn handle_heartbeat(&self, host: &HostName, heartbeat: &OwnerHeartbeat) {
         if heartbeat.owner.entry.as_str() != host.as_str() {
             self.context.counters.servers.count("beat-refused");
@@ -124,9 +125,9 @@
         }
     }
 
-    /// Returns the changes of this entry's registry that another entry lacks.
+    /// Returns the changes of this entry's registry that another entry requests.
     pub(crate) fn registry_delta(&self, request: &RegistryRequest) -> RegistryDelta {
-        self.shards.delta(request)
+        self.ranges.delta(request)
     }
 
     /// Registers an announcement of a server that this entry owns, received directly or from
@@ -141,7 +142,7 @@
             return Err("this entry cannot confirm its view".to_owned());
         }
         let last_record = self.directory.lock().last_record(&announcement.server).cloned();
-        let outcome = self.shards.announce(announcement, last_record.as_ref());
+        let outcome = self.ranges.announce(announcement, last_record.as_ref());
         match outcome {
             AnnounceOutcome::Started | AnnounceOutcome::Changed => {
                 let detail = format!("{:?}", announcement.state);
@@ -160,14 +161,14 @@
 
     /// Applies a report of a suspected server and publishes the change.
     pub(crate) fn apply_suspicion(&self, report: &SuspectReport) {
-        if self.shards.suspect(report) {
+        if self.ranges.suspect(report) {
             self.publish();
         }
     }
 
     /// Returns the warm servers in this entry's ranges.
     pub(crate) fn owned_warm_servers(&self) -> Vec<ServerRecord> {
-        self.shards.owned_warm_servers()
+        self.ranges.owned_warm_servers()
     }
 
     /// Returns whether a server has answered a request of this entry recently.
@@ -185,8 +186,8 @@
         found.map(|server| self.server_view(server, &view, DEFAULT_TIMEOUT)).collect()
     }
 
-    /// Applies changes of this entry's registry to its own directory and announces them to all
-    /// other entries.
+    /// Applies changes of this entry's registry to its own directory, and sends heartbeats with the
+    /// registry's version to all other entries.
     fn publish(&self) {
         self.apply_own_registry();
         self.send_heartbeats(&self.context.view());
@@ -197,7 +198,7 @@
         if !self.context.is_open() {
             return;
         }
-        let (heartbeat, name) = (self.shards.heartbeat(), self.context.name());
+        let (heartbeat, name) = (self.ranges.heartbeat(), self.context.name());
         for entry in view.entries().filter(|entry| entry.name != name) {
             if let Some(target) = peer_target(entry) {
                 self.link.send(&target, PeerRequest::Beat(heartbeat.clone()));
@@ -211,8 +212,8 @@
         let changed = {
             let mut directory = self.directory.lock();
             let mut changed = BTreeSet::new();
-            while let Some(request) = directory.observe_beat(&self.shards.heartbeat(), now) {
-                let delta = self.shards.delta(&request);
+            while let Some(request) = directory.observe_beat(&self.ranges.heartbeat(), now) {
+                let delta = self.ranges.delta(&request);
                 changed.extend(directory.apply(&delta, now));
             }
             changed
@@ -223,7 +224,7 @@
         self.refresh_pools(changed);
     }
 
-    /// Starts to pull a shard owner's registry, unless a pull from it is already running.
+    /// Starts to pull an owner's registry, unless a pull from this owner is already running.
     fn start_pull(&self, owner: ShardOwnerId, request: RegistryRequest) {
         if !self.active_pulls.lock().insert(owner.entry.clone()) {
             return;
@@ -237,8 +238,7 @@
         });
     }
 
-    /// Pulls a shard owner's registry until the directory has all of its changes or a request
-    /// fails.
+    /// Pulls an owner's registry until the directory has all of its changes or a request fails.
     async fn pull(&self, owner: &ShardOwnerId, first: RegistryRequest) {
         let Some(target) = self.entry_target(&owner.entry) else {
             return;
@@ -252,7 +252,7 @@
                 self.context.counters.servers.count("pull-failed");
                 return;
             };
-            let is_progress = delta.is_whole || delta.version > request.since;
+            let has_progress = delta.is_whole || delta.version > request.since;
             let incarnation = delta.owner.incarnation;
             let since = delta.version;
             let has_changes = !delta.changes.is_empty();
@@ -263,10 +263,10 @@
                 RegistryChange::Put(record) => Some(record),
                 RegistryChange::Remove(_) => None,
             });
-            if self.shards.adopt(records) {
+            if self.ranges.adopt(records) {
                 self.publish();
             }
-            if !is_progress || !has_changes || since == INITIAL_VERSION {
+            if !has_progress || !has_changes || since == INITIAL_VERSION {
                 return;
             }
             request = RegistryRequest { incarnation, since };
@@ -300,20 +300,20 @@
         let is_own = owner == self.context.name();
         let may_warm = is_own
             && record.stage == ServerStage::Cold
-            && self.shards.may_warm(&record.announcement.server, timeout);
+            && self.ranges.may_warm(&record.announcement.server, timeout);
         let is_drained = view.is_drained(&record.announcement.domain);
         ServerView { record, owner, may_warm, is_drained }
     }
 
-    /// Returns the clock of an owner's confirmations, which all pools share.
-    fn clock(&self, owner: &EntryName) -> Arc<HeartbeatClock> {
+    /// Returns the clock of an owner's confirmations, and creates it if there is none.
+    fn clock(&self, owner: &EntryName) -> Arc<ConfirmationClock> {
         if let Some(clock) = self.clocks.read().get(owner) {
             return clock.clone();
         }
         let mut clocks = self.clocks.write();
         let clock = clocks
             .entry(owner.clone())
-            .or_insert_with(|| Arc::new(HeartbeatClock::new(self.started)));
+            .or_insert_with(|| Arc::new(ConfirmationClock::new(self.started)));
         clock.clone()
     }
 
@@ -364,9 +364,9 @@
     }
 }
 
-impl ServerObserver for ServerCatalog {
+impl PoolCatalog for ServerCatalog {
     fn server_warmed(&self, server: &ServerName, incarnation: ServerIncarnation) {
-        if self.shards.mark_warm(server, incarnation) {
+        if self.ranges.mark_warm(server, incarnation) {
             self.context.record_server(EventKind::ServerWarm, server, String::new());
             self.publish();
         }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -253,13 +253,13 @@
         }
     }
 
-    /// Forwards the request to a shard owner with cold servers if one is due for warm-up. Returns
-    /// the answer if the request ran there.
+    /// Forwards the request to an owner of cold servers if a warm-up is due. Returns the answer if
+    /// the request ran there.
     async fn forward_for_warm_up(&self, active: &ActiveCall) -> Option<CallAnswer> {
         if active.source == CallSource::Entry {
             return None;
         }
-        let owner = active.pool.take_warm_up()?;
+        let owner = active.pool.take_warm_up_owner()?;
         // A cold server may be slow, so most of the time is reserved for running the request here.
         let now = Instant::now();
         let share = active.deadline.saturating_duration_since(now) / WARM_UP_DIVISOR;
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -10,7 +10,7 @@
 mod dispatch;
 mod node;
 mod once;
-mod owned_shards;
+mod owned_ranges;
 mod prepared_call;
 mod prober;
 mod relay;
--- a/crates/entry/src/owned_shards.rs
+++ b/crates/entry/src/owned_ranges.rs
@@ -1,4 +1,6 @@
-//! The servers in the ranges that this entry owns.
+//! The ranges of servers that this entry owns, and its registry of the servers in them.
+//!
+//! The entry that owns a range is called the shard owner of the range's servers.
 
 use crate::EntryContext;
 use parking_lot::Mutex;
@@ -18,28 +20,29 @@
 #[derive(Debug, Clone, Copy)]
 struct OwnedRange {
     acquired: Instant,
-    /// The range had no earlier owner that may have sent requests to cold servers.
+    /// Whether the range had no earlier owner, which could have sent requests to its cold servers.
     is_first_owner: bool,
 }
 
 /// The registry of this entry and the ranges that it owns.
-pub(crate) struct OwnedShards {
+pub(crate) struct OwnedRanges {
     context: Arc<EntryContext>,
     registry: Mutex<ServerRegistry>,
     ranges: Mutex<BTreeMap<RangeIndex, OwnedRange>>,
 }
 
-impl OwnedShards {
+impl OwnedRanges {
     pub(crate) fn new(context: Arc<EntryContext>) -> Self {
         let registry = Mutex::new(ServerRegistry::new(context.owner_id()));
         Self { context, registry, ranges: Mutex::default() }
     }
 
-    /// Applies the range assignment of a view and adopts the servers in the owned ranges from
-    /// `known`, the servers that previous owners published.
+    /// Applies the range assignment of a view. Adopts the servers in the owned ranges from `known`,
+    /// which contains the servers that previous owners published.
     ///
     /// Servers in ranges that moved to other entries stay in the registry until their announcements
-    /// expire, because entries rely on it until the new owner has published these servers.
+    /// expire, because other entries use its records until the new owner has published these
+    /// servers.
     pub(crate) fn view_changed(
         &self,
         view: &ClusterView,
@@ -48,11 +51,11 @@
         let (name, now) = (self.context.name(), Instant::now());
         {
             let mut ranges = self.ranges.lock();
-            let owned = |(range, lease): (RangeIndex, &RangeLease)| {
-                let acquired = OwnedRange { acquired: now, is_first_owner: lease.is_first };
-                (range, ranges.get(&range).copied().unwrap_or(acquired))
+            let owned_range = |(range, lease): (RangeIndex, &RangeLease)| {
+                let new_range = OwnedRange { acquired: now, is_first_owner: lease.is_first };
+                (range, ranges.get(&range).copied().unwrap_or(new_range))
             };
-            let current = view.ranges_of(&name).map(owned).collect();
+            let current = view.ranges_of(&name).map(owned_range).collect();
             *ranges = current;
         }
         self.adopt(known.values().copied());
@@ -72,8 +75,8 @@
         registry.version() != before
     }
 
-    /// Registers an announcement. A server that was warm in `known`, under the same incarnation,
-    /// stays warm.
+    /// Registers an announcement. The server stays warm if `known` is a record of the same
+    /// incarnation as warm.
     pub(crate) fn announce(
         &self,
         announcement: &Announcement,
@@ -104,7 +107,7 @@
         expired
     }
 
-    /// Returns the heartbeat that tells other entries the version of this registry.
+    /// Returns a heartbeat with the current version of this registry.
     pub(crate) fn heartbeat(&self) -> OwnerHeartbeat {
         let registry = self.registry.lock();
         OwnerHeartbeat { owner: registry.owner().clone(), version: registry.version() }
@@ -116,7 +119,8 @@
     }
 
     /// Returns whether this entry may send requests to a cold server. Requests of a previous owner
-    /// may still run there until that owner's view and the requests' deadlines have expired.
+    /// may still run there until that owner's view has expired and the deadlines of its last requests
+    /// have passed. `timeout` is the service's request timeout.
     pub(crate) fn may_warm(&self, server: &ServerName, timeout: Duration) -> bool {
         let ranges = self.ranges.lock();
         ranges.get(&server_range(server)).is_some_and(|range| {
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -20,13 +20,13 @@
 use tokio::{sync::oneshot, time::timeout_at};
 use types::{EntryName, ServerIncarnation, ServerName, ServiceName, ServiceSpec, SuspectKind};
 
-/// Number of independently locked shards of the pool table.
-const SHARD_COUNT: usize = 16;
-/// Minimum time between two requests that an entry sends to cold servers of a service to warm them
-/// up.
+/// Number of independently locked buckets in the pool table.
+const BUCKET_COUNT: usize = 16;
+/// Minimum time between two requests of a service that an entry forwards to warm up cold servers,
+/// and between two that it sends to its own cold servers.
 const WARM_UP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Number of answers from which the latency estimates of a pool are used.
+/// Number of answers after which a pool's 95th percentile of latency is used.
 const MIN_LATENCY_SAMPLES: u64 = 100;
 /// A dropped attempt counts as late for its server if it took longer than this multiple of the 95th
 /// percentile of latency.
@@ -43,17 +43,18 @@
 pub(crate) enum AcquireError {
     /// This entry may not use any server; these owners have cold servers.
     NoneEligible(SmallVec<[EntryName; 2]>),
-    /// The expected or actual wait was too long. Contains the expected wait.
+    /// The expected or actual wait was too long. Contains the expected wait or, after an actual
+    /// wait, the mean latency.
     TooBusy(Duration),
 }
 
-/// Receives the conclusions about a server that a pool draws from the result of an attempt.
-pub(crate) trait ServerObserver: Send + Sync {
-    /// The cold server is now warm.
+/// The functions of the server catalog that pools use.
+pub(crate) trait PoolCatalog: Send + Sync {
+    /// Handles the end of a server's slow start.
     fn server_warmed(&self, server: &ServerName, incarnation: ServerIncarnation);
-    /// The server is suspected to have failed, restarted or started to leave.
+    /// Handles the suspicion that a server has failed, restarted or started to leave.
     fn server_suspected(&self, server: &PickedServer, kind: SuspectKind);
-    /// Returns whether a shard owner's registry was confirmed recently enough to be used.
+    /// Returns whether the copy of an owner's registry was confirmed recently enough to be used.
     fn is_confirmed(&self, owner: &EntryName) -> bool;
 }
 
@@ -64,20 +65,21 @@
     sender: oneshot::Sender<ServerPermit>,
 }
 
+/// The mutable state of a pool.
 struct PoolState {
     load: ServiceLoad,
     waiting: VecDeque<WaitingRequest>,
     retries: RetryBudget,
     hedges: RetryBudget,
     latency: LatencyTracker,
-    last_warm_up: Option<Instant>,
+    last_forwarded_warm_up: Option<Instant>,
     last_own_warm_up: Option<Instant>,
 }
 
 /// An entry's servers, queue and budgets for one service.
 pub(crate) struct ServicePool {
     context: Arc<EntryContext>,
-    observer: Weak<dyn ServerObserver>,
+    catalog: Weak<dyn PoolCatalog>,
     state: Mutex<PoolState>,
     /// Admitted requests without an answer, including those that wait for a server.
     in_flight: AtomicUsize,
@@ -102,7 +104,8 @@
 impl Drop for ServerPermit {
     fn drop(&mut self) {
         if !self.is_finished {
-            // A dropped attempt counts against its server only if it took very long.
+            // A dropped attempt counts against its server only if it took longer than the late
+            // limit.
             let is_late =
                 self.pool.late_limit().is_some_and(|limit| self.acquired.elapsed() > limit);
             let outcome = if is_late { AttemptOutcome::Late } else { AttemptOutcome::Cancelled };
@@ -127,7 +130,7 @@
 impl ServicePool {
     fn new(
         context: Arc<EntryContext>,
-        observer: Weak<dyn ServerObserver>,
+        catalog: Weak<dyn PoolCatalog>,
         settings: LoadSettings,
     ) -> Self {
         let state = PoolState {
@@ -136,10 +139,10 @@
             retries: RetryBudget::new(0),
             hedges: RetryBudget::new(0),
             latency: LatencyTracker::default(),
-            last_warm_up: None,
+            last_forwarded_warm_up: None,
             last_own_warm_up: None,
         };
-        Self { context, observer, state: Mutex::new(state), in_flight: AtomicUsize::new(0) }
+        Self { context, catalog, state: Mutex::new(state), in_flight: AtomicUsize::new(0) }
     }
 
     /// Counts one more request as in flight, in this pool and in `total`.
@@ -203,29 +206,30 @@
         self.serve_waiting();
     }
 
-    /// Returns a shard owner to which the next request should be forwarded to warm up its cold
-    /// servers, or `None` if no warm-up is due.
-    pub(crate) fn take_warm_up(&self) -> Option<EntryName> {
-        let observer = self.observer.upgrade()?;
+    /// Returns an owner to which the next request should be forwarded to warm up its cold servers,
+    /// or `None` if no warm-up is due.
+    pub(crate) fn take_warm_up_owner(&self) -> Option<EntryName> {
+        let catalog = self.catalog.upgrade()?;
         let now = Instant::now();
         let mut state = self.state.lock();
         let is_recent = |at: Instant| now.saturating_duration_since(at) < WARM_UP_INTERVAL;
-        if state.last_warm_up.is_some_and(is_recent) {
+        if state.last_forwarded_warm_up.is_some_and(is_recent) {
             return None;
         }
-        let owners = state.load.cold_owners(|owner| observer.is_confirmed(owner));
+        let owners = state.load.cold_owners(|owner| catalog.is_confirmed(owner));
         let count = owners.len();
         if count == 0 {
             return None;
         }
-        state.last_warm_up = Some(now);
+        state.last_forwarded_warm_up = Some(now);
         drop(state);
         let chosen = self.context.with_rng(|rng| rand::Rng::random_range(rng, 0..count));
         owners.into_iter().nth(chosen)
     }
 
-    /// Returns whether the next request should go to a cold server that this entry owns. Selection
-    /// by latency alone would leave such servers cold when there are few requests.
+    /// Returns whether the next request should go to a cold server that this entry owns, and starts
+    /// the next warm-up interval if so. Selection by latency alone would leave such servers cold when
+    /// there are few requests.
     pub(crate) fn take_own_warm_up(&self) -> bool {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -245,8 +249,8 @@
     /// Returns the owners of cold servers if this entry may not use any server, and `None`
     /// otherwise.
     pub(crate) fn owners_if_ineligible(&self) -> Option<SmallVec<[EntryName; 2]>> {
-        let observer = self.observer.upgrade()?;
-        let is_confirmed = |owner: &EntryName| observer.is_confirmed(owner);
+        let catalog = self.catalog.upgrade()?;
+        let is_confirmed = |owner: &EntryName| catalog.is_confirmed(owner);
         let state = self.state.lock();
         if state.load.has_eligible(is_confirmed, Instant::now()) {
             return None;
@@ -320,10 +324,10 @@
         excluded: &[ServerName],
         prefers_cold: bool,
     ) -> PickResult {
-        let Some(observer) = self.observer.upgrade() else {
+        let Some(catalog) = self.catalog.upgrade() else {
             return PickResult::NoneEligible { cold_owners: SmallVec::new() };
         };
-        let is_confirmed = |owner: &EntryName| observer.is_confirmed(owner);
+        let is_confirmed = |owner: &EntryName| catalog.is_confirmed(owner);
         let now = Instant::now();
         self.context.with_rng(|rng| state.load.pick(excluded, prefers_cold, is_confirmed, now, rng))
     }
@@ -348,11 +352,11 @@
 
     /// Reports the conclusions from an attempt to the catalog and the event timeline.
     fn report_outcome(&self, server: &PickedServer, outcome: &ReleaseOutcome) {
-        let Some(observer) = self.observer.upgrade() else {
+        let Some(catalog) = self.catalog.upgrade() else {
             return;
         };
         if outcome.is_warm {
-            observer.server_warmed(&server.name, server.incarnation);
+            catalog.server_warmed(&server.name, server.incarnation);
         }
         if outcome.is_slow {
             self.context.counters.servers.count("slow");
@@ -362,12 +366,12 @@
         if let Some(kind) = outcome.suspicion {
             let detail = format!("{kind:?}");
             self.context.record_server(EventKind::ServerSuspected, &server.name, detail);
-            observer.server_suspected(server, kind);
+            catalog.server_suspected(server, kind);
         }
     }
 
     /// Assigns servers with free capacity to waiting requests in order. The permit of a request
-    /// that has been cancelled goes to the next one.
+    /// that has been cancelled goes to the next request.
     fn serve_waiting(self: &Arc<Self>) {
         loop {
             let (request, server) = {
@@ -400,12 +404,12 @@
     }
 }
 
-/// The pools of all services, in independently locked shards.
+/// The pools of all services, in independently locked buckets.
 pub(crate) struct PoolTable {
     context: Arc<EntryContext>,
-    observer: Weak<dyn ServerObserver>,
+    catalog: Weak<dyn PoolCatalog>,
     settings: LoadSettings,
-    shards: [Mutex<HashMap<ServiceName, Arc<ServicePool>>>; SHARD_COUNT],
+    buckets: [Mutex<HashMap<ServiceName, Arc<ServicePool>>>; BUCKET_COUNT],
     /// Requests in flight over all pools.
     pub(crate) in_flight: Arc<AtomicUsize>,
 }
@@ -413,22 +417,22 @@
 impl PoolTable {
     pub(crate) fn new(
         context: Arc<EntryContext>,
-        observer: Weak<dyn ServerObserver>,
+        catalog: Weak<dyn PoolCatalog>,
         settings: LoadSettings,
     ) -> Self {
-        let shards = Default::default();
-        Self { context, observer, settings, shards, in_flight: Arc::default() }
+        let buckets = Default::default();
+        Self { context, catalog, settings, buckets, in_flight: Arc::default() }
     }
 
     /// Returns the pool of a service, and creates it if there is none.
     pub(crate) fn pool(&self, service: &ServiceName) -> Arc<ServicePool> {
-        let shard = service.as_str().bytes().fold(0_usize, |sum, byte| sum + usize::from(byte));
-        let mut pools = self.shards[shard % SHARD_COUNT].lock();
+        let bucket = service.as_str().bytes().fold(0_usize, |sum, byte| sum + usize::from(byte));
+        let mut pools = self.buckets[bucket % BUCKET_COUNT].lock();
         if let Some(pool) = pools.get(service) {
             return pool.clone();
         }
         let pool =
-            ServicePool::new(self.context.clone(), self.observer.clone(), self.settings.clone());
+            ServicePool::new(self.context.clone(), self.catalog.clone(), self.settings.clone());
         let pool = Arc::new(pool);
         pools.insert(service.clone(), pool.clone());
         pool
@@ -436,27 +440,28 @@
 
     /// Returns all services that have a pool.
     pub(crate) fn services(&self) -> Vec<ServiceName> {
-        let names = |shard: &Mutex<HashMap<ServiceName, _>>| -> Vec<ServiceName> {
-            shard.lock().keys().cloned().collect()
+        let names = |bucket: &Mutex<HashMap<ServiceName, _>>| -> Vec<ServiceName> {
+            bucket.lock().keys().cloned().collect()
         };
-        self.shards.iter().flat_map(names).collect()
+        self.buckets.iter().flat_map(names).collect()
     }
 }
 
-/// The time of the last confirmation of a shard owner, shared by the catalog and all pools.
+/// The time at which the copy of an owner's registry was last confirmed to be current, by a heartbeat
+/// or a pull. Until the first confirmation, this is the origin of the clock.
 #[derive(Debug)]
-pub(crate) struct HeartbeatClock {
+pub(crate) struct ConfirmationClock {
     origin: Instant,
     /// Microseconds from `origin` to the last confirmation.
     confirmed_us: AtomicU64,
 }
 
-impl HeartbeatClock {
+impl ConfirmationClock {
     pub(crate) fn new(origin: Instant) -> Self {
         Self { origin, confirmed_us: AtomicU64::new(0) }
     }
 
-    /// Records a confirmation. One that is older than the last has no effect.
+    /// Records a confirmation at a time. Has no effect if a later one is recorded.
     pub(crate) fn confirm(&self, at: Instant) {
         let confirmed = at.saturating_duration_since(self.origin).as_micros() as u64;
         self.confirmed_us.fetch_max(confirmed, Ordering::AcqRel);
