--- a/crates/entry/src/active_call.rs
+++ b/crates/entry/src/active_call.rs
@@ -14,19 +14,19 @@
 /// The origin of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallSource {
-    /// Received from a caller.
+    /// A caller.
     Caller,
-    /// Forwarded by another entry; it is not forwarded again.
+    /// Another entry, which forwarded the request. It is not forwarded again.
     Entry,
 }
 
 /// A request that an entry is processing.
 ///
-/// Invariant: `possible_runs` counts the attempts that have started and are not known to have run
-/// nothing; an attempt whose future is dropped stays counted.
+/// Invariant: `possible_runs` counts the started attempts, except those that are known not to have
+/// run the request. An attempt whose future is dropped stays counted.
 pub(crate) struct ActiveCall {
     pub(crate) call: CallRequest,
-    /// The idempotency key from the caller. A key that this entry generated is in `call` only.
+    /// The caller's idempotency key. A key that this entry generated is in `call` only.
     pub(crate) caller_key: Option<Uuid>,
     pub(crate) prepared: PreparedCall,
     pub(crate) pool: Arc<ServicePool>,
@@ -53,7 +53,7 @@
         self.possible_runs.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Records that an attempt is known to have run nothing.
+    /// Records that a started attempt did not run the request.
     pub(crate) fn record_not_run(&self) {
         self.possible_runs.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -21,7 +21,7 @@
     pub calls: DecisionCounters,
     /// Confirmations of the view.
     pub freshness: DecisionCounters,
-    /// Decisions on servers and shard owners.
+    /// Decisions on servers and on messages of their shard owners.
     pub servers: DecisionCounters,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// An entry's registration, view, random numbers, timer, counters, timeline and logger.
+/// The state and services of an entry.
 pub struct EntryContext {
     /// The registration of this entry, which it sends to the replicas.
     pub info: RwLock<EntryInfo>,
@@ -107,9 +107,9 @@
         self.gate.is_open(Instant::now())
     }
 
-    /// Runs a closure with the entry's random number generator.
-    pub fn with_rng<T>(&self, draw: impl FnOnce(&mut SmallRng) -> T) -> T {
-        draw(&mut self.rng.lock())
+    /// Calls a function with the entry's random number generator, which is locked meanwhile.
+    pub fn with_rng<T>(&self, function: impl FnOnce(&mut SmallRng) -> T) -> T {
+        function(&mut self.rng.lock())
     }
 
     /// Records an event about a request.
@@ -134,7 +134,7 @@
     remaining.clamp(1, u128::from(u32::MAX)) as u32
 }
 
-/// Returns a duration in whole milliseconds, at most `u32::MAX`.
+/// Returns a duration in whole milliseconds, limited to `u32::MAX`.
 pub(crate) fn duration_ms(duration: Duration) -> u32 {
     duration.as_millis().min(u128::from(u32::MAX)) as u32
 }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -7,9 +7,9 @@
     catalog::ServerCatalog,
     claims::ClaimLedger,
     context::{duration_ms, remaining_ms},
+    dispatcher_api::{DispatcherApi, ForwardResult, MAX_ATTEMPTS, unclaimed_outcome},
     once::AtMostOnceRunner,
     prepared_call::PreparedCall,
-    relay::{CallForwarder, ForwardResult, MAX_ATTEMPTS, unclaimed_outcome},
     service_pool::{AcquireError, ServerPermit},
 };
 use async_trait::async_trait;
@@ -35,10 +35,11 @@
 
 /// Maximum number of entries that the directory returns for a service.
 const MAX_DIRECTORY_ENTRIES: usize = 3;
-/// The part of a request's remaining time that may be spent on a cold server, as a divisor.
+/// A forward for warm-up may take at most the request's remaining time divided by this.
 const WARM_UP_DIVISOR: u32 = 4;
-/// Minimum time after which a caller should retry while an entry does not accept work.
-const CLOSED_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Minimum retry time for a caller while this entry does not accept work, or while only other
+/// entries may use the service's servers and none of them answers.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Admits requests and runs them on servers.
 pub struct CallDispatcher {
@@ -93,7 +94,7 @@
         answer
     }
 
-    /// Checks whether the entry can accept a request, and runs it if so.
+    /// Runs a request if this entry can accept it, and refuses it otherwise.
     async fn admit(&self, mut call: CallRequest, source: CallSource) -> CallAnswer {
         let view = self.context.view();
         let Some(spec) = view.service(&call.service) else {
@@ -175,9 +176,9 @@
         self.final_answer(last)
     }
 
-    /// Runs one attempt, and a second one at another server if the first is slow: after the
-    /// service's 95th percentile of latency if the hedge budget allows it, or else when half of the
-    /// remaining time has passed, if the retry budget allows it.
+    /// Runs one attempt, and a second one at another server if the first is slow. The second starts
+    /// after the service's 95th percentile of latency if the hedge budget allows it, or else after
+    /// half of the remaining time if the retry budget allows it. Both are counted as hedged.
     async fn run_hedged(
         &self,
         active: &ActiveCall,
@@ -207,9 +208,9 @@
         first.await
     }
 
-    /// Starts a second attempt concurrently with the first and returns the first answer. Then the
-    /// other attempt is dropped, which cancels it at its server. An attempt that ends without an
-    /// answer leaves the result to the other.
+    /// Starts a second attempt concurrently with the first and returns the first answer. The other
+    /// attempt is then dropped, which cancels it at its server. If one attempt ends without an
+    /// answer, returns the result of the other.
     async fn race_second_attempt(
         &self,
         active: &ActiveCall,
@@ -260,7 +261,7 @@
             return None;
         }
         let owner = active.pool.take_warm_up_owner()?;
-        // A cold server may be slow, so most of the time is reserved for running the request here.
+        // A cold server may be slow, so most of the time is reserved for a run at another server.
         let now = Instant::now();
         let share = active.deadline.saturating_duration_since(now) / WARM_UP_DIVISOR;
         match self.forward(active, &owner, now + share).await {
@@ -269,8 +270,8 @@
         }
     }
 
-    /// Forwards an idempotent request to the owners of cold servers, which only they may use.
-    /// Refuses the request if none of them answers.
+    /// Forwards an idempotent request to the owners of cold servers, because only an owner may use
+    /// its cold servers. Refuses the request if no owner answers.
     async fn forward_to_owners(
         &self,
         active: &ActiveCall,
@@ -287,12 +288,12 @@
             }
         }
         match last {
-            AttemptResult::NotRun(_) => self.refuse_busy(None, CLOSED_RETRY_AFTER),
+            AttemptResult::NotRun(_) => self.refuse_busy(None, UNAVAILABLE_RETRY_AFTER),
             last => self.final_answer(last),
         }
     }
 
-    /// Returns the answer to a request that is not retried after its last attempt.
+    /// Returns the answer to a request that is not retried.
     fn final_answer(&self, last: AttemptResult) -> CallAnswer {
         match last {
             AttemptResult::Answered(answer) => answer,
@@ -312,7 +313,7 @@
 }
 
 #[async_trait]
-impl CallForwarder for CallDispatcher {
+impl DispatcherApi for CallDispatcher {
     async fn forward(
         &self,
         active: &ActiveCall,
@@ -322,14 +323,14 @@
         // While ranges move, this entry can be listed as the owner of cold servers before it may
         // use them.
         if *to == self.context.name() {
-            return ForwardResult::NotReached;
+            return ForwardResult::NotHandled;
         }
         let Some(target) = self.catalog.entry_target(to) else {
-            return ForwardResult::NotReached;
+            return ForwardResult::NotHandled;
         };
         // Forwarding starts new work, which requires a fresh view.
         if !self.context.is_open() {
-            return ForwardResult::NotReached;
+            return ForwardResult::NotHandled;
         }
         self.context.counters.calls.count("forwarded");
         self.context.record_call(EventKind::CallForwarded, active.call.id, format!("to {to}"));
@@ -346,7 +347,7 @@
             }
             Ok(_) | Err(PeerError::NotReached { .. }) => {
                 active.record_not_run();
-                ForwardResult::NotReached
+                ForwardResult::NotHandled
             }
             Err(error) => ForwardResult::Unknown(error.to_string()),
         }
@@ -356,7 +357,7 @@
         self.context.counters.calls.count("closed");
         let reason = "this entry cannot confirm its configuration; use another one";
         CallAnswer::refusal(503, unclaimed_outcome(caller_key), reason)
-            .with_retry_after(self.retry_after_ms(CLOSED_RETRY_AFTER))
+            .with_retry_after(self.retry_after_ms(UNAVAILABLE_RETRY_AFTER))
     }
 
     fn refuse_busy(&self, caller_key: Option<Uuid>, wait: Duration) -> CallAnswer {
@@ -396,7 +397,7 @@
     }
 }
 
-/// Returns the time allowed for a request: the caller's, or else the service's.
+/// Returns the timeout of a request: the caller's, or the service's if the caller set none.
 fn call_timeout(call: &CallRequest, spec: &ServiceSpec) -> Duration {
     let ms = if call.deadline_ms == 0 { spec.timeout_ms } else { call.deadline_ms };
     Duration::from_millis(u64::from(ms))
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/dispatcher_api.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's functions that the runner of at-most-once requests uses.
+//! The functions of the dispatcher that the runner of at-most-once requests uses.
 
 use crate::active_call::ActiveCall;
 use async_trait::async_trait;
@@ -13,16 +13,17 @@
 pub(crate) enum ForwardResult {
     /// The other entry answered.
     Answered(CallAnswer),
-    /// The request did not reach the other entry.
-    NotReached,
-    /// The request may have reached the other entry.
+    /// The other entry did not handle the request: it is unknown or was not reached, this entry may
+    /// not send the request, or the other entry refused it or sent an answer of another type.
+    NotHandled,
+    /// The request may have reached the other entry. Contains the reason.
     Unknown(String),
 }
 
-/// Forwards requests to other entries, and refuses requests that cannot run.
+/// Forwards requests to other entries, refuses requests that cannot run, and computes retry times.
 #[async_trait]
-pub(crate) trait CallForwarder: Send + Sync {
-    /// Forwards a request to another entry.
+pub(crate) trait DispatcherApi: Send + Sync {
+    /// Forwards a request to another entry and waits for the answer until `deadline`.
     async fn forward(
         &self,
         active: &ActiveCall,
@@ -33,17 +34,16 @@
     /// Refuses a request because this entry cannot confirm its view.
     fn refuse_closed(&self, caller_key: Option<Uuid>) -> CallAnswer;
 
-    /// Refuses a request because no server has free capacity. The caller is told to wait at least
-    /// `wait`.
+    /// Refuses a request because no server has free capacity. The caller is told to retry after
+    /// `wait` at the earliest.
     fn refuse_busy(&self, caller_key: Option<Uuid>, wait: Duration) -> CallAnswer;
 
-    /// Returns the time in milliseconds after which a caller that should wait at least `wait` is
-    /// told to retry.
+    /// Returns a random retry time for a caller in milliseconds, at least `wait`.
     fn retry_after_ms(&self, wait: Duration) -> u32;
 }
 
-/// Returns the outcome of a request that is refused before its claim is looked up. A request with
-/// the caller's key may be a repeat of one that has run.
+/// Returns the outcome of a request that is refused without a decision on its claim. If the key is
+/// the caller's, the request may repeat one that has run.
 pub(crate) fn unclaimed_outcome(caller_key: Option<Uuid>) -> CallOutcome {
     if caller_key.is_some() { CallOutcome::Unknown } else { CallOutcome::NotRun }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,6 +1,7 @@
-//! The entry: accepts requests of callers and forwards each to a backend server.
+//! The entry: accepts requests of callers and sends each to a backend server, directly or through
+//! another entry.
 //!
-//! The decisions are made in `policy`; this crate connects them to links, connections and timers.
+//! `policy` makes the decisions; this crate connects it to links, connections and timers.
 
 mod active_call;
 mod attempts;
@@ -8,12 +9,12 @@
 mod claims;
 mod context;
 mod dispatch;
+mod dispatcher_api;
 mod node;
 mod once;
 mod owned_ranges;
 mod prepared_call;
 mod prober;
-mod relay;
 mod service_pool;
 mod view_store;
 
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts the parts and tasks of an entry, routes peer requests to them, and stops them.
+//! Starts and stops the tasks of an entry, and handles the requests of its peers.
 
 use crate::{
     CallDispatcher, EntryContext, ReplicatedLedger, catalog::ServerCatalog, prober::ServerProber,
@@ -29,7 +29,7 @@
     pub load: LoadSettings,
     /// Limits for the connections and requests of callers.
     pub intake: ListenerSettings,
-    /// How long callers may cache the directory's answer.
+    /// Time for which callers may cache an answer of the directory.
     pub directory_max_age: Duration,
     /// Maximum time to wait for requests in flight at a planned stop.
     pub stop_grace: Duration,
@@ -40,10 +40,10 @@
 pub enum EntryError {
     /// The entry cannot listen on the callers' address.
     #[error("caller_address: {0}")]
-    Intake(#[from] ListenError),
+    CallerAddress(#[from] ListenError),
     /// The entry cannot listen on the servers' address.
     #[error("server_address: cannot listen on {address}: {source}")]
-    Announce {
+    ServerAddress {
         /// The address.
         address: SocketAddr,
         /// The error of the operating system.
@@ -57,7 +57,7 @@
     catalog: Arc<ServerCatalog>,
     dispatcher: Arc<CallDispatcher>,
     stop: Arc<Notify>,
-    callers: tokio::sync::Mutex<Option<tokio::task::JoinHandle<bool>>>,
+    listener_task: tokio::sync::Mutex<Option<tokio::task::JoinHandle<bool>>>,
     directory_max_age: Duration,
 }
 
@@ -95,7 +95,7 @@
         .await?;
         let announcements = TcpListener::bind(server_address)
             .await
-            .map_err(|source| EntryError::Announce { address: server_address, source })?;
+            .map_err(|source| EntryError::ServerAddress { address: server_address, source })?;
         let counters = context.counters.servers.clone();
         tokio::spawn(serve_announcements(announcements, catalog.clone(), counters));
         tokio::spawn(catalog.clone().run());
@@ -109,10 +109,10 @@
         let store = Arc::new(EntryViewStore::new(context.clone(), catalog.clone()));
         tokio::spawn(ViewRefresher::new(store, leader, refresher_context).run());
         let stop = Arc::new(Notify::new());
-        let callers = tokio::spawn(listener.serve(stop.clone(), settings.stop_grace));
-        let callers = tokio::sync::Mutex::new(Some(callers));
+        let listener_task = tokio::spawn(listener.serve(stop.clone(), settings.stop_grace));
+        let listener_task = tokio::sync::Mutex::new(Some(listener_task));
         let directory_max_age = settings.directory_max_age;
-        Ok(Arc::new(Self { context, catalog, dispatcher, stop, callers, directory_max_age }))
+        Ok(Arc::new(Self { context, catalog, dispatcher, stop, listener_task, directory_max_age }))
     }
 
     /// Returns the view of this entry.
@@ -159,16 +159,17 @@
         }
     }
 
-    /// Stops the entry gracefully: it leaves the directory, keeps serving while callers may use
-    /// cached directory answers, then closes. Returns whether all requests in flight finished.
+    /// Stops the entry gracefully: it leaves the directory, continues to serve until the answers of
+    /// the directory that callers may have cached expire, and then closes. Returns whether all
+    /// requests in flight finished.
     pub async fn stop(&self) -> bool {
         let tags = EventTags::default();
         self.context.timeline.record(EventKind::StopBegun, tags, String::new());
         self.context.info.write().serving = false;
         sleep(self.directory_max_age + types::FRESHNESS_LIMIT).await;
         self.stop.notify_one();
-        match self.callers.lock().await.take() {
-            Some(callers) => callers.await.unwrap_or(false),
+        match self.listener_task.lock().await.take() {
+            Some(task) => task.await.unwrap_or(false),
             None => true,
         }
     }
--- a/crates/entry/src/owned_ranges.rs
+++ b/crates/entry/src/owned_ranges.rs
@@ -119,8 +119,8 @@
     }
 
     /// Returns whether this entry may send requests to a cold server. Requests of a previous owner
-    /// may still run there until that owner's view has expired and the deadlines of its last requests
-    /// have passed. `timeout` is the service's request timeout.
+    /// may still run there until that owner's view has expired and the deadlines of its last
+    /// requests have passed. `timeout` is the service's request timeout.
     pub(crate) fn may_warm(&self, server: &ServerName, timeout: Duration) -> bool {
         let ranges = self.ranges.lock();
         ranges.get(&server_range(server)).is_some_and(|range| {
--- a/crates/entry/src/prepared_call.rs
+++ b/crates/entry/src/prepared_call.rs
@@ -38,7 +38,8 @@
         Ok(Self { method, path, headers, body: Bytes::copy_from_slice(&call.body) })
     }
 
-    /// Returns the request for one attempt, with the time left until the deadline in its header.
+    /// Returns the request for one attempt. A header field contains the time left until the
+    /// deadline.
     pub(crate) fn request(&self, deadline: Instant) -> ServerRequest {
         let mut headers = self.headers.clone();
         insert(&mut headers, header::DEADLINE, &remaining_ms(deadline).to_string());
@@ -51,6 +52,7 @@
     }
 }
 
+/// Sets a header field. Skips a value that is not valid in HTTP.
 fn insert(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
--- a/crates/entry/src/prober.rs
+++ b/crates/entry/src/prober.rs
@@ -1,8 +1,8 @@
 //! Probes of the servers that this entry owns, within each server's probe budget.
 //!
 //! Only the owner probes a server, and only while its view is fresh, so entries need not coordinate
-//! the budget. A probe only tests whether a server is reachable: the answers to requests report the
-//! load, and a server that has answered this entry recently is not probed.
+//! the budget. A probe only tests whether a server is reachable, since answers to requests report
+//! its load. A server that has answered this entry recently is not probed.
 
 use crate::{EntryContext, catalog::ServerCatalog};
 use http::{HeaderMap, Method, uri::PathAndQuery};
@@ -17,7 +17,7 @@
 };
 use types::{FRESHNESS_LIMIT, ServerName, ServerRecord, SuspectKind, SuspectReport};
 
-/// Path that probes request.
+/// HTTP path of a probe.
 const PROBE_PATH: &str = "/probe";
 /// Period at which the budgets are checked.
 const CHECK_PERIOD: Duration = Duration::from_millis(250);
@@ -89,7 +89,7 @@
         due
     }
 
-    /// Probes a server, and reports it as suspected if it is not reachable.
+    /// Probes a server, and marks it as suspected if it is not reachable.
     async fn probe(&self, record: &ServerRecord) {
         let announcement = &record.announcement;
         let counters = &self.context.counters.servers;
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -228,8 +228,8 @@
     }
 
     /// Returns whether the next request should go to a cold server that this entry owns, and starts
-    /// the next warm-up interval if so. Selection by latency alone would leave such servers cold when
-    /// there are few requests.
+    /// the next warm-up interval if so. Selection by latency alone would leave such servers cold
+    /// when there are few requests.
     pub(crate) fn take_own_warm_up(&self) -> bool {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -447,8 +447,8 @@
     }
 }
 
-/// The time at which the copy of an owner's registry was last confirmed to be current, by a heartbeat
-/// or a pull. Until the first confirmation, this is the origin of the clock.
+/// The time at which the copy of an owner's registry was last confirmed to be current, by a
+/// heartbeat or a pull. Until the first confirmation, this is the origin of the clock.
 #[derive(Debug)]
 pub(crate) struct ConfirmationClock {
     origin: Instant,
--- a/crates/entry/src/view_store.rs
+++ b/crates/entry/src/view_store.rs
@@ -1,4 +1,4 @@
-//! Connects this entry's view to the task that keeps it fresh.
+//! Gives the task that keeps the view fresh access to this entry's view.
 
 use crate::{EntryContext, catalog::ServerCatalog};
 use follow::ViewStore;
@@ -28,7 +28,7 @@
 
     fn install(&self, view: Arc<ClusterView>) {
         self.context.set_view(view.clone());
-        // The pools must apply drains before the gate is confirmed for this view.
+        // The pools must apply drains before `confirm` lets new work start under this view.
         self.catalog.view_changed(&view);
     }
 
