--- a/crates/follow/src/grants.rs
+++ b/crates/follow/src/grants.rs
@@ -1,14 +1,14 @@
-//! Interprets answers to freshness requests: whether the leader sent them, and what they grant.
+//! Extracts the sender's role and the grant from answers to freshness requests.
 
 use peer::{FreshnessAnswer, FreshnessGrant, PeerAnswer};
 use runtime::ReplicaAddress;
 
-/// Whether the leader or another replica sent an answer.
+/// The sender of an answer: the leader or another replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerSource {
-    /// The leader sent it.
+    /// The leader.
     Leader,
-    /// Another replica sent it; the leader may be at this address.
+    /// Another replica, which may name the leader's address.
     NotLeader(Option<ReplicaAddress>),
 }
 
--- a/crates/follow/src/leader.rs
+++ b/crates/follow/src/leader.rs
@@ -1,4 +1,4 @@
-//! Locates the leader of the replicas, also after it changes, and sends requests to it.
+//! Locates the current leader of the replicas and sends requests to it.
 
 use crate::grants::{AnswerSource, freshness_source, into_grant};
 use consensus::MembershipChange;
@@ -20,10 +20,10 @@
 };
 use types::{ClusterView, Command, CommandAnswer, ViewUpdate, ViewVersion};
 
-/// Time allowed for one request to the leader.
-const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time that the leader's answer may take beyond the timeout after which the other replicas are
-/// asked too. A view of the target size takes about 2 s over a link of 2 Mbit/s.
+/// Time allowed for one attempt to submit a command or a membership change.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Additional time for the leader's answer after the timeout at which the other replicas are asked
+/// too. The largest view that the system is designed for takes about 2 s over a link of 2 Mbit/s.
 const LARGE_ANSWER_TIME: Duration = Duration::from_millis(2_500);
 /// Pause before the other replicas are asked again while the leader's answer is outstanding.
 const RECHECK_PERIOD: Duration = Duration::from_millis(150);
@@ -33,9 +33,9 @@
 /// The addresses of the replicas.
 #[derive(Debug)]
 struct ReplicaTargets {
-    /// The replicas of the settings.
+    /// The replicas that the settings name.
     seeds: Vec<PeerTarget>,
-    /// The replicas that a leader named last, or the initial seeds.
+    /// The replicas that a leader named last, or until then the seeds given at the start.
     known: Vec<PeerTarget>,
     leader: Option<PeerTarget>,
 }
@@ -58,14 +58,14 @@
     has_named_excluded: bool,
 }
 
-/// Outcome of a command by its deadline.
+/// Outcome of a command or a membership change by its deadline.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitResult {
-    /// Committed and applied.
+    /// A command was committed and applied, or a leader accepted a membership change.
     Applied(CommandAnswer),
-    /// Refused by the leader, which did not accept it.
+    /// The leader did not accept the command. Contains the reason.
     Refused(String),
-    /// Not known; the command may or may not take effect.
+    /// The outcome is not known by the deadline; the command may or may not take effect.
     Unknown,
 }
 
@@ -76,13 +76,13 @@
 }
 
 impl LeaderClient {
-    /// Returns a client that knows the replicas of the settings only.
-    pub fn new(link: Arc<dyn PeerLink>, known: Vec<PeerTarget>) -> Self {
-        let targets = ReplicaTargets { seeds: known.clone(), known, leader: None };
+    /// Returns a client that knows only the seeds, the replicas that the settings name.
+    pub fn new(link: Arc<dyn PeerLink>, seeds: Vec<PeerTarget>) -> Self {
+        let targets = ReplicaTargets { known: seeds.clone(), seeds, leader: None };
         Self { link, targets: Mutex::new(targets) }
     }
 
-    /// Replaces the known replicas by those that the leader named. An empty list is ignored.
+    /// Replaces the known replicas with those that the leader named. Ignores an empty list.
     pub fn set_replicas(&self, replicas: &[ReplicaAddress]) {
         if replicas.is_empty() {
             return;
@@ -94,13 +94,15 @@
         self.targets.lock().known = known;
     }
 
-    /// Replaces the seeds, which are asked in addition to the known replicas.
+    /// Replaces the seeds, which are asked in addition to the known replicas. Until a leader names
+    /// replicas, the seeds given at the start are also asked, as known replicas.
     pub fn set_seeds(&self, seeds: Vec<PeerTarget>) {
         self.targets.lock().seeds = seeds;
     }
 
     /// Asks the leader, or all replicas at the same time while it is unknown. `source_of` returns
-    /// whether the leader sent an answer; other answers only serve to locate the leader.
+    /// the sender of an answer; answers of other replicas only serve to locate the leader. Returns
+    /// `None` if the leader does not answer in time.
     pub async fn call_leader(
         &self,
         request: &PeerRequest,
@@ -110,8 +112,8 @@
         let Some(leader) = self.leader() else {
             return self.call_all(request, timeout, &source_of).await;
         };
-        // A large answer may take longer than the timeout on a slow link. The call continues while
-        // the others are asked, since a new call would transfer the answer again.
+        // A large answer can take longer than the timeout on a slow link. The call continues while
+        // the others are asked, because a new call would transfer the answer again.
         let mut first = pin!(self.link.call(&leader, request.clone(), timeout + LARGE_ANSWER_TIME));
         if let Ok(answer) = tokio::time::timeout(timeout, &mut first).await {
             return match self.process_answer(&leader, answer, &source_of) {
@@ -130,13 +132,13 @@
                     };
                 }
                 Either::Right((others, _)) => {
-                    let is_over = !others.has_named_excluded || Instant::now() >= recheck_deadline;
-                    if others.answer.is_some() || is_over {
+                    let may_stop = !others.has_named_excluded || Instant::now() >= recheck_deadline;
+                    if others.answer.is_some() || may_stop {
                         return others.answer;
                     }
                 }
             }
-            // The others may still name a leader that has just stopped, so they are asked again.
+            // The others may still name a leader that has just failed, so they are asked again.
             if let Ok(answer) = tokio::time::timeout(RECHECK_PERIOD, &mut first).await {
                 return self.process_answer(&leader, answer, &source_of);
             }
@@ -171,17 +173,17 @@
                 (target, answer)
             })
             .collect();
-        let mut others = FanOutResult::default();
+        let mut fan_out = FanOutResult::default();
         while let Some((target, answer)) = asked.next().await {
             if let Ok(answer) = &answer
                 && let AnswerSource::NotLeader(Some(named)) = source_of(answer)
             {
-                others.has_named_excluded |=
+                fan_out.has_named_excluded |=
                     excluded.is_some_and(|replica| replica.address == named.address);
             }
-            others.answer = self.process_answer(&target, answer, source_of);
-            if others.answer.is_some() {
-                return others;
+            fan_out.answer = self.process_answer(&target, answer, source_of);
+            if fan_out.answer.is_some() {
+                return fan_out;
             }
         }
         // The replicas that answered may have named a leader that was not asked.
@@ -189,13 +191,13 @@
             |hinted: &PeerTarget| !asked_targets.contains(hinted) && Some(hinted) != excluded;
         if let Some(hinted) = self.leader().filter(is_new) {
             let answer = self.link.call(&hinted, request.clone(), timeout).await;
-            others.answer = self.process_answer(&hinted, answer, source_of);
+            fan_out.answer = self.process_answer(&hinted, answer, source_of);
         }
-        others
+        fan_out
     }
 
-    /// Submits a change of the set of replicas until a leader accepts or refuses it, or the
-    /// deadline passes.
+    /// Submits a membership change repeatedly until a leader accepts or refuses it, or the deadline
+    /// passes. An accepted change may not be committed yet.
     pub async fn change_membership(
         &self,
         change: MembershipChange,
@@ -204,7 +206,8 @@
         self.submit_request(&PeerRequest::ChangeMembership(change), deadline).await
     }
 
-    /// Reads the whole current view. Returns `None` if no leader confirms it in time.
+    /// Reads the whole current view. Returns `None` if no leader sends it in time, or if the
+    /// answer cannot be decoded or is not a whole view.
     pub async fn read_view(&self, timeout: Duration) -> Option<ClusterView> {
         // No view has this version, so the answer contains the whole view.
         match self.read_update(ViewVersion(u64::MAX), timeout).await? {
@@ -213,8 +216,8 @@
         }
     }
 
-    /// Reads the current view by applying the changes since `base`. Returns `None` if no leader
-    /// confirms it in time.
+    /// Returns the current view, which is `base` with the changes since then. Returns `None` if no
+    /// leader sends the changes in time or they cannot be decoded.
     pub async fn read_since(&self, base: &ClusterView, timeout: Duration) -> Option<ClusterView> {
         let update = self.read_update(base.version, timeout).await?;
         let mut view = base.clone();
@@ -230,8 +233,8 @@
         grant.update.unpack().ok()
     }
 
-    /// Submits a command until its outcome is known or the deadline passes. The command must be
-    /// idempotent, since it may be applied more than once.
+    /// Submits a command repeatedly until its outcome is known or the deadline passes. The command
+    /// must be idempotent, because it may be applied more than once.
     pub async fn submit(&self, command: Command, deadline: Instant) -> SubmitResult {
         self.submit_request(&PeerRequest::Submit(command), deadline).await
     }
@@ -249,7 +252,7 @@
             if left.is_zero() {
                 return SubmitResult::Unknown;
             }
-            match self.call_leader(request, left.min(CALL_TIMEOUT), source_of).await {
+            match self.call_leader(request, left.min(SUBMIT_TIMEOUT), source_of).await {
                 Some(PeerAnswer::Submit(SubmitAnswer::Applied(answer))) => {
                     return SubmitResult::Applied(answer);
                 }
@@ -272,12 +275,12 @@
         replicas_digest(targets.known.iter().map(|target| target.address))
     }
 
-    /// Returns the replicas that a leader named last, or the initial seeds.
+    /// Returns the replicas that a leader named last, or until then the seeds given at the start.
     pub(crate) fn replicas(&self) -> Vec<PeerTarget> {
         self.targets.lock().known.clone()
     }
 
-    /// Sends a request to one replica.
+    /// Sends a request to one replica, which need not be the leader.
     pub(crate) async fn call_replica(
         &self,
         target: &PeerTarget,
@@ -292,7 +295,8 @@
         self.targets.lock().leader.clone()
     }
 
-    /// Updates the known leader by an answer. Returns the answer if the leader sent it.
+    /// Updates the known leader from an answer or a failed call. Returns the answer if the leader
+    /// sent it.
     fn process_answer(
         &self,
         target: &PeerTarget,
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -2,10 +2,10 @@
 
 mod grants;
 mod leader;
-mod near;
 mod refresher;
+mod replica_selector;
 
 pub use grants::AnswerSource;
 pub use leader::{LeaderClient, SubmitResult};
-pub use near::ReplicaSelector;
 pub use refresher::{RefresherContext, ViewRefresher, ViewStore};
+pub use replica_selector::ReplicaSelector;
--- a/crates/follow/src/refresher.rs
+++ b/crates/follow/src/refresher.rs
@@ -1,7 +1,7 @@
 //! Keeps the view of an entry fresh.
 //!
-//! A confirmed view is fresh as of the time at which the request was sent, not the time at which
-//! the answer arrived: the leader answers only after a quorum round that began after the request
+//! A granted freshness request confirms that the view was current when the request was sent, not
+//! when the answer arrived: the leader answers only after a quorum round that began after the request
 //! arrived.
 
 use crate::{
@@ -22,24 +22,23 @@
 use types::{ClusterView, EntryInfo, ViewVersion};
 
 /// Period of freshness requests.
-const RENEWAL_PERIOD: Duration = Duration::from_millis(250);
-/// Minimum pause between requests until there is a first view.
+const REQUEST_PERIOD: Duration = Duration::from_millis(250);
+/// Minimum pause between freshness requests until there is a first view.
 const MIN_FIRST_VIEW_PAUSE: Duration = Duration::from_millis(50);
-/// Maximum pause between requests until there is a first view.
+/// Maximum pause between freshness requests until there is a first view.
 const MAX_FIRST_VIEW_PAUSE: Duration = Duration::from_millis(200);
-/// Pause before the next request for a first view, as a multiple of the duration of the last one.
-/// When all entries start together, this asks slow replicas less often.
+/// Pause before the next request for a first view, as a multiple of the duration of the last
+/// request. It reduces the load on slow replicas when all entries start together.
 const FIRST_VIEW_BACKOFF: u32 = 2;
-/// Time after which the leader is asked in addition to a selected replica that has not answered.
-/// A follower waits up to 100 ms before it requests a read index, 50 ms for the leader's quorum
-/// round, and 100 ms for the heartbeat that carries the commit index; the rest allows for busy
-/// hosts.
+/// Time after which the leader is asked too if the selected replica has not answered. A follower
+/// may take 250 ms: up to 100 ms until it requests a read index, 50 ms for the leader's quorum
+/// round, and 100 ms until the heartbeat with the commit index. The rest allows for busy hosts.
 const LEADER_HEDGE_DELAY: Duration = Duration::from_millis(400);
-/// The same until there is a first view. A view of 3,000 servers takes 0.4 s over a link of
-/// 2 Mbit/s, and sending it to all entries would overload the leader.
+/// Replaces [`LEADER_HEDGE_DELAY`] until there is a first view. A view of 3,000 servers takes 0.4 s
+/// over a link of 2 Mbit/s, and sending it to all entries would overload the leader.
 const FIRST_VIEW_HEDGE_DELAY: Duration = Duration::from_millis(1_000);
-/// Time allowed for one request.
-const RENEWAL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time allowed for one freshness request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Stores the view of an entry.
 pub trait ViewStore: Send + Sync {
@@ -47,9 +46,9 @@
     fn info(&self) -> EntryInfo;
     /// Returns the current view.
     fn view(&self) -> Arc<ClusterView>;
-    /// Replaces the view by a newer one.
+    /// Replaces the view with a newer one. [`confirm`](Self::confirm) is called for it afterwards.
     fn install(&self, view: Arc<ClusterView>);
-    /// Records that a request sent at this time confirmed the view.
+    /// Records that a freshness request sent at this time confirmed the view.
     fn confirm(&self, sent: Instant);
     /// Returns whether the last confirmation is recent enough to start new work.
     fn is_open(&self) -> bool;
@@ -58,7 +57,7 @@
 /// Services of the process that a [`ViewRefresher`] uses.
 #[derive(Clone)]
 pub struct RefresherContext {
-    /// Counters of confirmations.
+    /// Counters of freshness requests and their results.
     pub counters: DecisionCounters,
     /// Event timeline.
     pub timeline: EventTimeline,
@@ -68,13 +67,14 @@
     pub timer: TimerService,
 }
 
-/// Requests confirmations and changes of an entry's view until the timer service ends.
+/// Keeps the view in a [`ViewStore`] fresh by periodic freshness requests.
 pub struct ViewRefresher {
     store: Arc<dyn ViewStore>,
     leader: Arc<LeaderClient>,
     context: RefresherContext,
     selector: ReplicaSelector,
-    /// Random number in `0.0..1.0`, fixed so that the choice among equally near replicas is stable.
+    /// Random number in `0.0..1.0`, fixed so that the choice among the replicas of a failure domain
+    /// is stable.
     draw: f64,
     /// The replica that confirmed the view last, unless it has failed since.
     last_replica: Option<SocketAddr>,
@@ -100,15 +100,16 @@
         }
     }
 
-    /// Renews the view periodically until the timer service ends.
+    /// Sends freshness requests periodically until the timer service ends.
     pub async fn run(mut self) {
-        let mut ticks = self.context.timer.subscribe(RENEWAL_PERIOD);
+        let mut ticks = self.context.timer.subscribe(REQUEST_PERIOD);
         loop {
             let started = Instant::now();
-            self.renew().await;
+            self.refresh().await;
             self.record_gate_change();
             if self.store.view().version == ViewVersion::default() {
-                // Nothing can be served before the first view.
+                // Nothing can be served before the first view, so the next request does not wait
+                // for the period.
                 sleep(first_view_pause(started.elapsed())).await;
             } else if ticks.tick().await.is_none() {
                 return;
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Requests one confirmation of the view and applies the grant.
-    async fn renew(&mut self) {
+    /// Sends one freshness request and applies the grant in its answer.
+    async fn refresh(&mut self) {
         let sent = Instant::now();
         let version = self.store.view().version;
         match self.request_grant(version).await {
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Asks the selected replica, and the leader too if the replica fails or is slow to answer.
+    /// Requests a grant from the selected replica, and from the leader too if the replica fails or
+    /// does not answer in time.
     async fn request_grant(&mut self, version: ViewVersion) -> Option<FreshnessGrant> {
         let request = |may_relay| {
             let entry = Some(self.store.info());
@@ -137,15 +139,15 @@
         let (replica_request, leader_request) = (request(true), request(false));
         let Some(target) = self.select_replica() else {
             return into_grant(
-                self.leader.call_leader(&leader_request, RENEWAL_TIMEOUT, freshness_source).await,
+                self.leader.call_leader(&leader_request, REQUEST_TIMEOUT, freshness_source).await,
             );
         };
         let leader = self.leader.clone();
-        let mut from_replica = pin!(leader.call_replica(&target, replica_request, RENEWAL_TIMEOUT));
+        let mut from_replica = pin!(leader.call_replica(&target, replica_request, REQUEST_TIMEOUT));
         let is_first = version == ViewVersion::default();
         let hedge_delay = if is_first { FIRST_VIEW_HEDGE_DELAY } else { LEADER_HEDGE_DELAY };
         let answered = timeout(hedge_delay, &mut from_replica).await;
-        let is_silent = answered.is_err();
+        let has_timed_out = answered.is_err();
         if let Some(grant) = into_grant(answered.ok().and_then(Result::ok)) {
             self.selector.record_success(target.address, grant.domain.clone());
             self.log_replica_change(&target, &grant);
@@ -155,11 +157,11 @@
         self.context.counters.count("near-replica-failed");
         if self.last_replica.take().is_some() {
             warn!(self.context.logger, "replica does not confirm the view";
-                "replica" => %target.address, "silent" => is_silent);
+                "replica" => %target.address, "silent" => has_timed_out);
         }
         let from_leader =
-            pin!(leader.call_leader(&leader_request, RENEWAL_TIMEOUT, freshness_source));
-        if !is_silent {
+            pin!(leader.call_leader(&leader_request, REQUEST_TIMEOUT, freshness_source));
+        if !has_timed_out {
             return into_grant(from_leader.await);
         }
         match select(from_replica, from_leader).await {
@@ -205,7 +207,7 @@
             info!(self.context.logger, "view changed"; "version" => view.version.0,
                 "from" => current.version.0, "routing" => view.routing_version().0,
                 "servers" => view.servers().count(), "entries" => view.entries().count());
-            // The store must apply drains before the gate is confirmed for this view.
+            // The store must apply the view's drains before `confirm` lets new work start.
             self.store.install(Arc::new(view));
             let tags = EventTags::default();
             self.context.timeline.record(EventKind::ChangeInForce, tags, detail);
@@ -214,7 +216,7 @@
         self.context.counters.count("confirmed");
     }
 
-    /// Logs and records when the entry starts or stops accepting new work.
+    /// Logs and records whether the entry has started or stopped accepting new work.
     fn record_gate_change(&mut self) {
         let is_open = self.store.is_open();
         if is_open == self.was_open {
--- a/crates/follow/src/near.rs
+++ b/crates/follow/src/replica_selector.rs
@@ -1,7 +1,7 @@
 //! Selects the replica from which an entry requests its view.
 //!
-//! Replicas in the entry's own failure domain are preferred. An entry learns a replica's failure
-//! domain from its answers, and tries replicas of unknown domain until it finds one in its own.
+//! An entry prefers replicas in its own failure domain. It learns a replica's failure domain from
+//! the replica's answers, and tries replicas of unknown domain until it finds one in its own.
 
 use std::{
     collections::HashMap,
@@ -27,17 +27,18 @@
         Self { own_domain, domains: HashMap::new(), failed: HashMap::new() }
     }
 
-    /// Returns the replica to ask, or `None` if all have failed recently. `draw` is a uniformly
-    /// distributed number in `0.0..1.0`. It differs between entries, which spreads them over the
-    /// replicas.
+    /// Returns the replica to ask, or `None` if all have failed recently. `draw` is a number in
+    /// `0.0..1.0` that each entry draws from a uniform distribution, which spreads the entries over
+    /// the replicas.
     pub fn choose(&self, now: Instant, replicas: &[SocketAddr], draw: f64) -> Option<SocketAddr> {
         let is_usable = |address: &&SocketAddr| {
             let failed = self.failed.get(*address);
             failed.is_none_or(|since| now.saturating_duration_since(*since) > FAILURE_COOLDOWN)
         };
         let usable: Vec<SocketAddr> = replicas.iter().filter(is_usable).copied().collect();
-        let is_near = |address: &SocketAddr| self.domains.get(address) == Some(&self.own_domain);
-        let is_untried = |address: &SocketAddr| !self.domains.contains_key(address);
+        let is_in_own_domain =
+            |address: &SocketAddr| self.domains.get(address) == Some(&self.own_domain);
+        let has_unknown_domain = |address: &SocketAddr| !self.domains.contains_key(address);
         let pick = |candidates: Vec<SocketAddr>| {
             let index = (draw.clamp(0.0, 1.0) * candidates.len() as f64) as usize;
             candidates.get(index.min(candidates.len().saturating_sub(1))).copied()
@@ -45,8 +46,8 @@
         let usable_where = |predicate: &dyn Fn(&SocketAddr) -> bool| {
             usable.iter().filter(|address| predicate(address)).copied().collect::<Vec<_>>()
         };
-        pick(usable_where(&is_near))
-            .or_else(|| pick(usable_where(&is_untried)))
+        pick(usable_where(&is_in_own_domain))
+            .or_else(|| pick(usable_where(&has_unknown_domain)))
             .or_else(|| pick(usable.clone()))
     }
 
--- a/crates/follow/tests/keeper.rs
+++ b/crates/follow/tests/keeper.rs
@@ -21,7 +21,7 @@
 };
 use types::{ClusterView, EntryIncarnation, EntryInfo, ViewUpdate, ViewVersion};
 
-/// Replicas that confirm a view after `delay` when asked as a follower, and at once when asked as
+/// Replicas that confirm a view after `delay` when asked as followers, and at once when asked as
 /// the leader.
 struct SlowFollowers {
     delay: Duration,
@@ -92,8 +92,8 @@
     }
 }
 
-/// Returns how often the leader was asked until the view was confirmed, when followers answer after
-/// `delay`.
+/// Returns how often the leader was asked until a view of this version was confirmed, when
+/// followers answer after `delay`. Version 0 means that there is no view yet.
 async fn leader_requests(delay: Duration, version: u64) -> usize {
     let link = Arc::new(SlowFollowers { delay, asked_leader: AtomicUsize::new(0) });
     let host = "core-1".parse().expect("valid");
@@ -112,8 +112,9 @@
     link.asked_leader.load(Ordering::SeqCst)
 }
 
-/// Guards against overloading the leader: followers delay read-index requests, so an answer can
-/// take 250 ms. On a copy of a site with 300 machines, all entries asked the leader after 200 ms.
+/// Guards against overloading the leader: a follower delays its read-index request, so its answer
+/// can take 250 ms. On a copy of a site with 300 machines, all entries asked the leader after
+/// 200 ms.
 #[tokio::test(start_paused = true)]
 async fn leader_is_not_asked_while_a_follower_delays_its_read_index() {
     // 100 ms before the read index is requested, 50 ms for the leader's quorum round, 100 ms until
@@ -125,11 +126,11 @@
 /// still sending it.
 #[tokio::test(start_paused = true)]
 async fn leader_is_not_asked_during_a_large_first_view() {
-    // Above the 0.4 s that a view of 3,000 servers takes over a link of 2 Mbit/s.
+    // More than the 0.4 s that a view of 3,000 servers takes over a link of 2 Mbit/s.
     assert_eq!(leader_requests(Duration::from_millis(500), 0).await, 0);
 }
 
-/// Guards against losing freshness when a follower never answers.
+/// Guards against losing freshness when the selected follower never answers.
 #[tokio::test(start_paused = true)]
 async fn leader_is_asked_when_the_follower_is_silent() {
     assert!(leader_requests(Duration::from_secs(60), 5).await >= 1);
--- a/crates/follow/tests/leader.rs
+++ b/crates/follow/tests/leader.rs
@@ -1,4 +1,4 @@
-//! Tests how the leader is located from seeds, over simulated links.
+//! Tests how a client locates the leader from the seeds, over simulated links.
 
 use async_trait::async_trait;
 use hawthornhill_follow::{AnswerSource, LeaderClient, SubmitResult};
@@ -14,7 +14,7 @@
 };
 use types::{Command, CommandAnswer};
 
-/// Replicas of which one is the leader; the others name it in their answers.
+/// Replicas with one leader, which the others name in their answers.
 struct RedirectingReplicas {
     leader: ReplicaAddress,
 }
@@ -52,7 +52,7 @@
 }
 
 /// Guards against never reaching a leader that is not a seed. After a restart of the whole system
-/// an entry knows the seeds only, so it must also ask the leader that they name.
+/// an entry knows only the seeds, so it must also ask the leader that they name.
 #[tokio::test]
 async fn leader_named_by_the_seeds_is_asked() {
     let PeerTarget { host, address } = target(4);
@@ -64,7 +64,8 @@
     assert_eq!(result, SubmitResult::Applied(CommandAnswer::Done));
 }
 
-/// A leader whose later answers take 300 ms to transfer; the other replicas name it at once.
+/// Replicas whose leader's answers, except for the first, take 300 ms to transfer. The other
+/// replicas name the leader at once.
 struct SlowLink {
     leader: ReplicaAddress,
     asked: AtomicUsize,
@@ -95,8 +96,8 @@
     fn send(&self, _target: &PeerTarget, _request: PeerRequest) {}
 }
 
-/// Guards against an answer that never arrives because it takes longer than the timeout: cancelling
-/// the call and asking again would restart the transfer each time.
+/// Guards against an answer that takes longer than the timeout and so never arrives, because each
+/// new call cancels the transfer and restarts it.
 #[tokio::test]
 async fn slow_answer_of_the_leader_is_not_requested_again() {
     let PeerTarget { host, address } = target(1);
@@ -113,13 +114,17 @@
     assert_eq!(link.asked.load(Ordering::SeqCst), 2);
 }
 
-/// A leader that stops answering; the other replicas name it until they have elected a new one.
-struct FrozenLeader {
+/// Number of the call, counted over all replicas, from which the replicas name the new leader.
+const FIRST_CALL_AFTER_ELECTION: usize = 8;
+
+/// Replicas whose leader stops answering after its first answer. The others name it until they have
+/// elected a new leader.
+struct ElectingReplicas {
     asked: AtomicUsize,
 }
 
 #[async_trait]
-impl PeerLink for FrozenLeader {
+impl PeerLink for ElectingReplicas {
     async fn call(
         &self,
         called: &PeerTarget,
@@ -135,7 +140,7 @@
                 return Err(PeerError::TimedOut { address: called.address, timeout_ms: 0 });
             }
             4 => SubmitAnswer::Applied(CommandAnswer::Done),
-            _ if self.asked.load(Ordering::SeqCst) < 8 => {
+            _ if self.asked.load(Ordering::SeqCst) < FIRST_CALL_AFTER_ELECTION => {
                 SubmitAnswer::NotLeader(Some(name(target(1))))
             }
             _ => SubmitAnswer::NotLeader(Some(name(target(4)))),
@@ -146,12 +151,12 @@
     fn send(&self, _target: &PeerTarget, _request: PeerRequest) {}
 }
 
-/// Guards against losing freshness when the leader freezes: the other replicas still named it when
-/// they were first asked, so an entry waited 3 s for it and its view expired. Found by
+/// Guards against losing freshness when the leader stops answering: the other replicas still named
+/// it at first, so an entry waited 3 s for it and its view expired. Found by
 /// daemon/tests/freshness.rs.
 #[tokio::test]
 async fn frozen_leader_is_replaced_by_the_newly_elected_one() {
-    let link = Arc::new(FrozenLeader { asked: AtomicUsize::new(0) });
+    let link = Arc::new(ElectingReplicas { asked: AtomicUsize::new(0) });
     let client = LeaderClient::new(link, vec![target(1), target(2), target(3)]);
     let request = PeerRequest::Submit(Command::BalanceRanges);
     let timeout = Duration::from_millis(50);
--- a/crates/follow/tests/near.rs
+++ b/crates/follow/tests/near.rs
@@ -1,5 +1,5 @@
-//! Tests which replica an entry selects: one in its own failure domain, spread evenly over entries,
-//! and another one while those fail.
+//! Tests which replica an entry selects: one in its own failure domain, with the entries spread
+//! evenly over the replicas, and another one after a failure.
 
 use hawthornhill_follow::ReplicaSelector;
 use std::{
@@ -24,8 +24,8 @@
     domain(["a", "b", "c", "d"][index / 3])
 }
 
-/// Guards against an entry that keeps switching replicas, or settles on one in another failure
-/// domain, because it does not know the replicas' domains at its start.
+/// Guards against an entry that does not know the replicas' failure domains at its start and
+/// therefore keeps switching replicas, or settles on one in another domain.
 #[test]
 fn entry_settles_on_a_replica_of_its_domain() {
     for step in 0..20 {
