--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -155,7 +155,7 @@
                 max_ejected_percent: MAX_EJECTED_PERCENT,
                 selector: Arc::new(LatencySelector),
             },
-            intake: ListenerSettings {
+            listener: ListenerSettings {
                 max_body_bytes: self.settings.max_body_bytes,
                 ..ListenerSettings::default()
             },
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -28,7 +28,7 @@
     /// Settings for the selection of servers.
     pub load: LoadSettings,
     /// Limits for the connections and requests of callers.
-    pub intake: ListenerSettings,
+    pub listener: ListenerSettings,
     /// Time for which callers may cache an answer of the directory.
     pub directory_max_age: Duration,
     /// Maximum time to wait for requests in flight at a planned stop.
@@ -89,7 +89,7 @@
         let listener = CallerListener::bind(
             caller_address,
             dispatcher.clone(),
-            settings.intake,
+            settings.listener,
             context.counters.calls.clone(),
         )
         .await?;
--- a/crates/follow/src/refresher.rs
+++ b/crates/follow/src/refresher.rs
@@ -1,8 +1,8 @@
 //! Keeps the view of an entry fresh.
 //!
 //! A granted freshness request confirms that the view was current when the request was sent, not
-//! when the answer arrived: the leader answers only after a quorum round that began after the request
-//! arrived.
+//! when the answer arrived: the leader answers only after a quorum round that began after the
+//! request arrived.
 
 use crate::{
     LeaderClient, ReplicaSelector,
