--- a/crates/entry/src/active_call.rs
+++ b/crates/entry/src/active_call.rs
@@ -48,7 +48,7 @@
         Self { call, caller_key, prepared, pool, deadline, source, possible_runs }
     }
 
-    /// Records the start of an attempt, here or by forwarding the request to another entry.
+    /// Records the start of an attempt, either at a server or by forwarding to another entry.
     pub(crate) fn record_start(&self) {
         self.possible_runs.fetch_add(1, Ordering::AcqRel);
     }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -18,8 +18,7 @@
 /// The reason why a claim was not decided.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ClaimError {
-    /// No usable answer by the deadline, or an answer of another type; the claim may still be
-    /// granted.
+    /// The deadline passed or the answer was of another type; the claim may still be granted.
     #[error("the claim could not be decided in time")]
     Undecided,
     /// The leader refused the claim. Contains the reason.
--- a/crates/entry/src/dispatcher_api.rs
+++ b/crates/entry/src/dispatcher_api.rs
@@ -6,15 +6,15 @@
 use types::{CallAnswer, CallOutcome, EntryName, HeaderField, header};
 use uuid::Uuid;
 
-/// Maximum number of attempts per request, including the first.
+/// Maximum number of attempts per request, including the first but not the hedges.
 pub(crate) const MAX_ATTEMPTS: usize = 3;
 
 /// The result of forwarding a request to another entry.
 pub(crate) enum ForwardResult {
     /// The other entry answered.
     Answered(CallAnswer),
-    /// The other entry did not handle the request: it is unknown or was not reached, this entry may
-    /// not send the request, or the other entry refused it or sent an answer of another type.
+    /// The other entry did not handle the request. Either this entry did not send it, or the other
+    /// entry was not reached, refused it, or sent an answer of another type.
     NotHandled,
     /// The request may have reached the other entry. Contains the reason.
     Unknown(String),
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -44,7 +44,7 @@
     /// The entry cannot listen on the servers' address.
     #[error("server_address: cannot listen on {address}: {source}")]
     ServerAddress {
-        /// The address.
+        /// The servers' address.
         address: SocketAddr,
         /// The error of the operating system.
         source: std::io::Error,
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -50,9 +50,9 @@
 
 /// The functions of the server catalog that pools use.
 pub(crate) trait PoolCatalog: Send + Sync {
-    /// Handles the end of a server's slow start.
+    /// Marks a cold server as warm.
     fn server_warmed(&self, server: &ServerName, incarnation: ServerIncarnation);
-    /// Handles the suspicion that a server has failed, restarted or started to leave.
+    /// Reports a server that is suspected to have failed, restarted or started to leave.
     fn server_suspected(&self, server: &PickedServer, kind: SuspectKind);
     /// Returns whether the copy of an owner's registry was confirmed recently enough to be used.
     fn is_confirmed(&self, owner: &EntryName) -> bool;
@@ -114,7 +114,7 @@
     }
 }
 
-/// Counts a request as in flight until it is dropped.
+/// Counts a request as in flight until the guard is dropped.
 pub(crate) struct InFlightGuard {
     pool: Arc<ServicePool>,
     total: Arc<AtomicUsize>,
@@ -461,7 +461,7 @@
         Self { origin, confirmed_us: AtomicU64::new(0) }
     }
 
-    /// Records a confirmation at a time. Has no effect if a later one is recorded.
+    /// Records a confirmation at time `at`, unless a later one is already recorded.
     pub(crate) fn confirm(&self, at: Instant) {
         let confirmed = at.saturating_duration_since(self.origin).as_micros() as u64;
         self.confirmed_us.fetch_max(confirmed, Ordering::AcqRel);
--- a/crates/follow/src/leader.rs
+++ b/crates/follow/src/leader.rs
@@ -26,7 +26,7 @@
 /// too. The largest view that the system is designed for takes about 2 s over a link of 2 Mbit/s.
 const LARGE_ANSWER_TIME: Duration = Duration::from_millis(2_500);
 /// Pause before the other replicas are asked again while the leader's answer is outstanding.
-const RECHECK_PERIOD: Duration = Duration::from_millis(150);
+const RECHECK_PAUSE: Duration = Duration::from_millis(150);
 /// Pause before a command is submitted again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
@@ -139,7 +139,7 @@
                 }
             }
             // The others may still name a leader that has just failed, so they are asked again.
-            if let Ok(answer) = tokio::time::timeout(RECHECK_PERIOD, &mut first).await {
+            if let Ok(answer) = tokio::time::timeout(RECHECK_PAUSE, &mut first).await {
                 return self.process_answer(&leader, answer, &source_of);
             }
         }
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -1,4 +1,4 @@
-//! Client side of the replicas: locates their leader and keeps an entry's view fresh.
+//! Client of the replicas: locates their leader and keeps an entry's view fresh.
 
 mod grants;
 mod leader;
--- a/crates/follow/src/refresher.rs
+++ b/crates/follow/src/refresher.rs
@@ -82,7 +82,7 @@
 }
 
 impl ViewRefresher {
-    /// Returns a task that keeps the store's view fresh.
+    /// Returns a refresher for the view in this store.
     pub fn new(
         store: Arc<dyn ViewStore>,
         leader: Arc<LeaderClient>,
