--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -3,13 +3,13 @@
 use crate::{
     EntryContext,
     active_call::{ActiveCall, CallSource},
-    attempts::{AttemptEnd, AttemptRunner},
+    attempts::{AttemptResult, AttemptRunner},
     catalog::ServerCatalog,
     claims::ClaimLedger,
     context::{duration_ms, remaining_ms},
+    dispatcher_api::{DispatcherApi, ForwardResult, MAX_ATTEMPTS, unclaimed_outcome},
     once::AtMostOnceRunner,
     prepared_call::PreparedCall,
-    relay::{CallForwarder, ForwardResult, MAX_ATTEMPTS, unclaimed_outcome},
     service_pool::{AcquireError, ServerPermit},
 };
 use async_trait::async_trait;
@@ -35,10 +35,11 @@
 
 /// Maximum number of entries that the directory returns for a service.
 const MAX_DIRECTORY_ENTRIES: usize = 3;
-/// The part of a request's remaining time that may be spent on a cold server, as a divisor.
+/// A forward for warm-up may take at most the request's remaining time divided by this.
 const WARM_UP_DIVISOR: u32 = 4;
-/// Minimum time after which a caller should retry while an entry does not accept work.
-const CLOSED_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Minimum retry time for a caller while this entry does not accept work, or while only other
+/// entries may use the service's servers and none of them answers.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Admits requests and runs them on servers.
 pub struct CallDispatcher {
@@ -93,7 +94,7 @@
         answer
     }
 
-    /// Checks whether the entry can accept a request, and runs it if so.
+    /// Runs a request if this entry can accept it, and refuses it otherwise.
     async fn admit(&self, mut call: CallRequest, source: CallSource) -> CallAnswer {
         let view = self.context.view();
         let Some(spec) = view.service(&call.service) else {
@@ -150,7 +151,7 @@
             return answer;
         }
         let mut excluded: SmallVec<[ServerName; 2]> = SmallVec::new();
-        let mut last = AttemptEnd::NotRun("no try yet".to_owned());
+        let mut last = AttemptResult::NotRun("no try yet".to_owned());
         for number in 0..MAX_ATTEMPTS {
             if number > 0 && !self.may_retry(active, &last) {
                 break;
@@ -166,7 +167,7 @@
             };
             excluded.push(permit.server.name.clone());
             last = self.run_hedged(active, permit, &excluded).await;
-            if let AttemptEnd::Answered(answer) = last {
+            if let AttemptResult::Answered(answer) = last {
                 return answer;
             }
             let detail = format!("{last:?}");
@@ -175,22 +176,22 @@
         self.final_answer(last)
     }
 
-    /// Runs one attempt, and a second one at another server if the first is slow: after the
-    /// service's 95th percentile of latency if the hedge budget allows it, or else when half of the
-    /// remaining time has passed, if the retry budget allows it.
+    /// Runs one attempt, and a second one at another server if the first is slow. The second starts
+    /// after the service's 95th percentile of latency if the hedge budget allows it, or else after
+    /// half of the remaining time if the retry budget allows it. Both are counted as hedged.
     async fn run_hedged(
         &self,
         active: &ActiveCall,
         permit: ServerPermit,
         excluded: &[ServerName],
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let started = Instant::now();
         let half_time = active.deadline.saturating_duration_since(started) / 2;
         let first = self.runner.run(active, permit);
         tokio::pin!(first);
         if let Some(delay) = active.pool.hedge_delay().filter(|delay| *delay < half_time) {
             tokio::select! {
-                end = &mut first => return end,
+                result = &mut first => return result,
                 () = sleep_until((started + delay).into()) => {}
             }
             if active.pool.take_hedge() {
@@ -198,7 +199,7 @@
             }
         }
         tokio::select! {
-            end = &mut first => return end,
+            result = &mut first => return result,
             () = sleep_until((started + half_time).into()) => {}
         }
         if active.pool.take_retry() {
@@ -207,15 +208,15 @@
         first.await
     }
 
-    /// Starts a second attempt concurrently with the first and returns the first answer. Then the
-    /// other attempt is dropped, which cancels it at its server. An attempt that ends without an
-    /// answer leaves the result to the other.
+    /// Starts a second attempt concurrently with the first and returns the first answer. The other
+    /// attempt is then dropped, which cancels it at its server. If one attempt ends without an
+    /// answer, returns the result of the other.
     async fn race_second_attempt(
         &self,
         active: &ActiveCall,
-        mut first: Pin<&mut (impl Future<Output = AttemptEnd> + Send)>,
+        mut first: Pin<&mut (impl Future<Output = AttemptResult> + Send)>,
         excluded: &[ServerName],
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let Some(permit) = active.pool.try_acquire(excluded) else {
             return first.await;
         };
@@ -225,12 +226,12 @@
         let second = self.runner.run(active, permit);
         tokio::pin!(second);
         tokio::select! {
-            end = &mut first => match end {
-                AttemptEnd::Answered(_) => end,
+            result = &mut first => match result {
+                AttemptResult::Answered(_) => result,
                 _ => second.await,
             },
-            end = &mut second => match end {
-                AttemptEnd::Answered(_) => end,
+            result = &mut second => match result {
+                AttemptResult::Answered(_) => result,
                 _ => first.await,
             },
         }
@@ -238,13 +239,13 @@
 
     /// Returns whether the request may be retried after this result, and takes a retry from the
     /// budget if so.
-    fn may_retry(&self, active: &ActiveCall, last: &AttemptEnd) -> bool {
+    fn may_retry(&self, active: &ActiveCall, last: &AttemptResult) -> bool {
         if Instant::now() >= active.deadline {
             return false;
         }
         match last {
-            AttemptEnd::Closed | AttemptEnd::Late | AttemptEnd::Answered(_) => false,
-            AttemptEnd::NotRun(_) | AttemptEnd::Unknown(_) => {
+            AttemptResult::Closed | AttemptResult::Late | AttemptResult::Answered(_) => false,
+            AttemptResult::NotRun(_) | AttemptResult::Unknown(_) => {
                 let is_granted = active.pool.take_retry();
                 let decision = if is_granted { "retried" } else { "retry-refused" };
                 self.context.counters.calls.count(decision);
@@ -253,14 +254,14 @@
         }
     }
 
-    /// Forwards the request to a shard owner with cold servers if one is due for warm-up. Returns
-    /// the answer if the request ran there.
+    /// Forwards the request to an owner of cold servers if a warm-up is due. Returns the answer if
+    /// the request ran there.
     async fn forward_for_warm_up(&self, active: &ActiveCall) -> Option<CallAnswer> {
         if active.source == CallSource::Entry {
             return None;
         }
-        let owner = active.pool.take_warm_up()?;
-        // A cold server may be slow, so most of the time is reserved for running the request here.
+        let owner = active.pool.take_warm_up_owner()?;
+        // A cold server may be slow, so most of the time is reserved for a run at another server.
         let now = Instant::now();
         let share = active.deadline.saturating_duration_since(now) / WARM_UP_DIVISOR;
         match self.forward(active, &owner, now + share).await {
@@ -269,13 +270,13 @@
         }
     }
 
-    /// Forwards an idempotent request to the owners of cold servers, which only they may use.
-    /// Refuses the request if none of them answers.
+    /// Forwards an idempotent request to the owners of cold servers, because only an owner may use
+    /// its cold servers. Refuses the request if no owner answers.
     async fn forward_to_owners(
         &self,
         active: &ActiveCall,
         owners: SmallVec<[EntryName; 2]>,
-        last: AttemptEnd,
+        last: AttemptResult,
     ) -> CallAnswer {
         if active.source == CallSource::Caller {
             for owner in owners {
@@ -287,21 +288,23 @@
             }
         }
         match last {
-            AttemptEnd::NotRun(_) => self.refuse_busy(None, CLOSED_RETRY_AFTER),
+            AttemptResult::NotRun(_) => self.refuse_busy(None, UNAVAILABLE_RETRY_AFTER),
             last => self.final_answer(last),
         }
     }
 
-    /// Returns the answer to a request that is not retried after its last attempt.
-    fn final_answer(&self, last: AttemptEnd) -> CallAnswer {
+    /// Returns the answer to a request that is not retried.
+    fn final_answer(&self, last: AttemptResult) -> CallAnswer {
         match last {
-            AttemptEnd::Answered(answer) => answer,
-            AttemptEnd::Closed => self.refuse_closed(None),
-            AttemptEnd::NotRun(reason) => CallAnswer::refusal(503, CallOutcome::NotRun, &reason)
+            AttemptResult::Answered(answer) => answer,
+            AttemptResult::Closed => self.refuse_closed(None),
+            AttemptResult::NotRun(reason) => CallAnswer::refusal(503, CallOutcome::NotRun, &reason)
                 .with_retry_after(self.retry_after_ms(Duration::ZERO)),
-            AttemptEnd::Unknown(reason) => CallAnswer::refusal(502, CallOutcome::Unknown, &reason)
-                .with_retry_after(self.retry_after_ms(Duration::ZERO)),
-            AttemptEnd::Late => {
+            AttemptResult::Unknown(reason) => {
+                CallAnswer::refusal(502, CallOutcome::Unknown, &reason)
+                    .with_retry_after(self.retry_after_ms(Duration::ZERO))
+            }
+            AttemptResult::Late => {
                 CallAnswer::refusal(504, CallOutcome::Unknown, "no answer by the deadline")
                     .with_retry_after(self.retry_after_ms(Duration::ZERO))
             }
@@ -310,7 +313,7 @@
 }
 
 #[async_trait]
-impl CallForwarder for CallDispatcher {
+impl DispatcherApi for CallDispatcher {
     async fn forward(
         &self,
         active: &ActiveCall,
@@ -320,14 +323,14 @@
         // While ranges move, this entry can be listed as the owner of cold servers before it may
         // use them.
         if *to == self.context.name() {
-            return ForwardResult::NotReached;
+            return ForwardResult::NotHandled;
         }
         let Some(target) = self.catalog.entry_target(to) else {
-            return ForwardResult::NotReached;
+            return ForwardResult::NotHandled;
         };
         // Forwarding starts new work, which requires a fresh view.
         if !self.context.is_open() {
-            return ForwardResult::NotReached;
+            return ForwardResult::NotHandled;
         }
         self.context.counters.calls.count("forwarded");
         self.context.record_call(EventKind::CallForwarded, active.call.id, format!("to {to}"));
@@ -344,7 +347,7 @@
             }
             Ok(_) | Err(PeerError::NotReached { .. }) => {
                 active.record_not_run();
-                ForwardResult::NotReached
+                ForwardResult::NotHandled
             }
             Err(error) => ForwardResult::Unknown(error.to_string()),
         }
@@ -354,7 +357,7 @@
         self.context.counters.calls.count("closed");
         let reason = "this entry cannot confirm its configuration; use another one";
         CallAnswer::refusal(503, unclaimed_outcome(caller_key), reason)
-            .with_retry_after(self.retry_after_ms(CLOSED_RETRY_AFTER))
+            .with_retry_after(self.retry_after_ms(UNAVAILABLE_RETRY_AFTER))
     }
 
     fn refuse_busy(&self, caller_key: Option<Uuid>, wait: Duration) -> CallAnswer {
@@ -394,7 +397,7 @@
     }
 }
 
-/// Returns the time allowed for a request: the caller's, or else the service's.
+/// Returns the timeout of a request: the caller's, or the service's if the caller set none.
 fn call_timeout(call: &CallRequest, spec: &ServiceSpec) -> Duration {
     let ms = if call.deadline_ms == 0 { spec.timeout_ms } else { call.deadline_ms };
     Duration::from_millis(u64::from(ms))
