--- a/crates/gateway/src/placer.rs
+++ b/crates/gateway/src/placer.rs
@@ -10,7 +10,7 @@
 use futures_util::{StreamExt, stream::FuturesUnordered};
 use http::{Request, StatusCode, header};
 use http_body_util::Full;
-use policy::{PlacementCandidate, PlacementNeed, ServerLoad, cheapest_candidate, owns_cold_server};
+use policy::{PlacementCandidate, PlacementNeed, ServerLoad, cheapest_candidate, is_warm_up_entry};
 use rand::seq::SliceRandom;
 use smallvec::SmallVec;
 use std::{
@@ -278,7 +278,7 @@
     fn may_use_cold(&self, server: &BackendServer, request: &PlaceRequest<'_>) -> bool {
         let entries = request.view.entries().filter(|entry| entry.serving).map(|e| &e.name);
         server.has_cold_capacity(Instant::now())
-            && owns_cold_server(&self.entry, entries, &server.name)
+            && is_warm_up_entry(&self.entry, entries, &server.name)
     }
 
     fn start_probe(
--- a/crates/policy/src/cold_share.rs
+++ b/crates/policy/src/cold_share.rs
@@ -1,48 +1,51 @@
 //! Rate limit on requests to a cold server, kept without messages between entries.
 //!
-//! Rendezvous hashing makes a few entries owners of a cold server, and each owner uses an equal
-//! share of its rate. Other entries send it nothing, so that the limit holds while entries cannot
-//! reach each other.
+//! Rendezvous hashing chooses a few warm-up entries for each cold server, and each of them uses an
+//! equal share of the server's rate. Other entries send it nothing, so that the limit holds while
+//! entries cannot reach each other. Warm-up entries are not shard owners: a server has several of
+//! the former, but only one shard owner.
 
 use std::time::{Duration, Instant};
 use types::{EntryName, ServerName};
 
 /// Number of entries that may send requests to one cold server.
-pub const COLD_OWNERS: usize = 3;
-/// Part of a cold server's rate that its owners use. The rest covers the time in which entries
-/// disagree about the set of entries.
+pub const WARM_UP_ENTRIES: usize = 3;
+/// Part of a cold server's rate that its warm-up entries use. The rest covers the time in which
+/// entries disagree about the set of entries, and so about the warm-up entries.
 const RATE_SHARE: f64 = 0.8;
 
-/// Returns whether an entry is among the owners of a cold server.
-pub fn owns_cold_server<'a>(
+/// Returns whether an entry is one of the warm-up entries of a server, given all entries.
+pub fn is_warm_up_entry<'a>(
     entry: &EntryName,
     entries: impl Iterator<Item = &'a EntryName>,
     server: &ServerName,
 ) -> bool {
     let own = rendezvous_weight(entry, server);
     let ahead = entries.filter(|other| *other != entry && rendezvous_weight(other, server) > own);
-    ahead.count() < COLD_OWNERS
+    ahead.count() < WARM_UP_ENTRIES
 }
 
-/// One owner's share of the rate of a cold server, granted as evenly spaced single requests.
+/// One warm-up entry's share of the rate of a cold server, granted as evenly spaced single requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ColdAllowance {
     next_due: Option<Instant>,
 }
 
 impl ColdAllowance {
-    /// Takes one request from the share of a server that runs `rate_milli` thousandths of a request
-    /// a second. Returns whether one was available.
+    /// Takes one request from the share. Returns whether one was available.
+    ///
+    /// `rate_milli` is the server's rate for all entries together, in thousandths of a request per
+    /// second.
     pub fn take(&mut self, now: Instant, rate_milli: u32) -> bool {
         if rate_milli == 0 || self.next_due.is_some_and(|next_due| now < next_due) {
             return false;
         }
-        let share = f64::from(rate_milli) / 1_000.0 * RATE_SHARE / COLD_OWNERS as f64;
+        let share = f64::from(rate_milli) / 1_000.0 * RATE_SHARE / WARM_UP_ENTRIES as f64;
         self.next_due = Some(now + Duration::from_secs_f64(1.0 / share));
         true
     }
 
-    /// Returns whether [`ColdAllowance::take`] would grant a request at a rate above 0.
+    /// Returns whether [`ColdAllowance::take`] would grant a request, provided the rate is above 0.
     pub fn has_capacity(&self, now: Instant) -> bool {
         self.next_due.is_none_or(|next_due| now >= next_due)
     }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -2,9 +2,9 @@
 //! names the load pattern or fault that it covers.
 
 use hawthornhill_policy::{
-    BudgetLimits, COLD_OWNERS, CallerTimeouts, CapacityForecast, CapacityNeed, ColdAllowance,
-    PlacementCandidate, PlacementNeed, ServerLoad, ServiceTime, SharedBudget, WaitQueue, WaitRank,
-    cheapest_candidate, owns_cold_server, retry_delay,
+    BudgetLimits, CallerTimeouts, CapacityForecast, CapacityNeed, ColdAllowance,
+    PlacementCandidate, PlacementNeed, ServerLoad, ServiceTime, SharedBudget, WARM_UP_ENTRIES,
+    WaitQueue, WaitRank, cheapest_candidate, is_warm_up_entry, retry_delay,
 };
 use std::time::{Duration, Instant};
 use types::EntryName;
@@ -166,16 +166,16 @@
 }
 
 #[test]
-fn cold_servers_of_a_restarted_zone_have_few_owners_and_keep_their_rate() {
+fn cold_servers_of_a_restarted_domain_have_few_warm_up_entries_and_keep_their_rate() {
     let entries: Vec<EntryName> =
         (0..18).map(|n| format!("entry-{n}").parse().expect("a name")).collect();
     let start = Instant::now();
     for number in 0..20 {
         let server = format!("server-{number}").parse().expect("a name");
-        let owners: Vec<_> =
-            entries.iter().filter(|e| owns_cold_server(e, entries.iter(), &server)).collect();
-        assert_eq!(owners.len(), COLD_OWNERS);
-        let mut allowances = vec![ColdAllowance::default(); owners.len()];
+        let chosen: Vec<_> =
+            entries.iter().filter(|e| is_warm_up_entry(e, entries.iter(), &server)).collect();
+        assert_eq!(chosen.len(), WARM_UP_ENTRIES);
+        let mut allowances = vec![ColdAllowance::default(); chosen.len()];
         let mut sent = Vec::new();
         for millis in 0..3_000 {
             let now = start + Duration::from_millis(millis);
