--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -179,7 +179,7 @@
     /// enough answers have been received.
     pub(crate) fn hedge_delay(&self) -> Option<Duration> {
         let latency = self.state.lock().latency;
-        (latency.samples() >= MIN_LATENCY_SAMPLES).then(|| latency.quantile())
+        (latency.samples() >= MIN_LATENCY_SAMPLES).then(|| latency.p95())
     }
 
     /// Returns the time after which an attempt without an answer counts as late, or `None` until
@@ -187,7 +187,7 @@
     fn late_limit(&self) -> Option<Duration> {
         let latency = self.state.lock().latency;
         let is_known = latency.samples() >= MIN_LATENCY_SAMPLES;
-        is_known.then(|| (latency.quantile() * LATE_FACTOR).max(MIN_LATE_LIMIT))
+        is_known.then(|| (latency.p95() * LATE_FACTOR).max(MIN_LATE_LIMIT))
     }
 
     /// Updates the servers from the directory and assigns free capacity to waiting requests.
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Divisor of the weight of a new sample in the mean.
-const MEAN_DIVISOR: f64 = 16.0;
+/// Weight of a new sample in the mean.
+const MEAN_WEIGHT: f64 = 1.0 / 16.0;
 /// Quantile that is tracked besides the median.
 const HIGH_QUANTILE: f64 = 0.95;
 /// Step of the quantile estimates, as a fraction of the mean.
@@ -17,7 +17,7 @@
 pub struct LatencyTracker {
     mean_us: f64,
     median_us: f64,
-    high_quantile_us: f64,
+    p95_us: f64,
     samples: u64,
 }
 
@@ -29,14 +29,13 @@
         if self.samples == 1 {
             self.mean_us = sample;
             self.median_us = sample;
-            self.high_quantile_us = sample;
+            self.p95_us = sample;
             return;
         }
-        self.mean_us += (sample - self.mean_us) / MEAN_DIVISOR;
+        self.mean_us += (sample - self.mean_us) * MEAN_WEIGHT;
         let step = self.mean_us * QUANTILE_STEP;
         self.median_us += quantile_step(sample > self.median_us, 0.5) * step;
-        self.high_quantile_us +=
-            quantile_step(sample > self.high_quantile_us, HIGH_QUANTILE) * step;
+        self.p95_us += quantile_step(sample > self.p95_us, HIGH_QUANTILE) * step;
     }
 
     /// Returns the mean, or zero before the first sample.
@@ -50,8 +49,8 @@
     }
 
     /// Returns the 95th percentile, or zero before the first sample.
-    pub fn quantile(&self) -> Duration {
-        Duration::from_secs_f64(self.high_quantile_us.max(0.0) / 1e6)
+    pub fn p95(&self) -> Duration {
+        Duration::from_secs_f64(self.p95_us.max(0.0) / 1e6)
     }
 
     /// Returns the number of samples.
