--- a/crates/policy/src/directory.rs
+++ b/crates/policy/src/directory.rs
@@ -1,8 +1,11 @@
 //! An entry's directory of all servers, merged from the registries of their owners.
 //!
-//! A server's records count only from the owner that the replicated view names for it, and only
-//! while that owner's heartbeats arrive. Until that owner has sent a record, a former owner's record
-//! of a warm server is used.
+//! The record of a server comes from the shard owner that the replicated view names for it. Until
+//! that owner has sent one, a former owner's record is used if it says that the server is warm.
+//!
+//! The directory does not check whether an owner's heartbeats still arrive. It stores when each
+//! owner's records were last known to be current, and its user ignores records for which this is
+//! longer ago than [`HEARTBEAT_TIMEOUT`].
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -67,8 +70,8 @@
         }
     }
 
-    /// Applies a delta that was requested at `asked`. Returns the services whose servers changed.
-    pub fn apply(&mut self, delta: &RegistryDelta, asked: Instant) -> BTreeSet<ServiceName> {
+    /// Applies a delta that was requested at `requested_at`. Returns the services whose servers changed.
+    pub fn apply(&mut self, delta: &RegistryDelta, requested_at: Instant) -> BTreeSet<ServiceName> {
         let mut changed = BTreeSet::new();
         let owner = &delta.owner.entry;
         let is_known =
@@ -78,7 +81,7 @@
             let copy = RegistryCopy {
                 incarnation: delta.owner.incarnation,
                 version: RegistryVersion(0),
-                confirmed: asked,
+                confirmed: requested_at,
                 servers: BTreeMap::new(),
             };
             self.copies.insert(owner.clone(), copy);
@@ -111,7 +114,7 @@
             }
         }
         copy.version = delta.version;
-        copy.confirmed = copy.confirmed.max(asked);
+        copy.confirmed = copy.confirmed.max(requested_at);
         changed
     }
 
@@ -126,7 +129,7 @@
     /// Returns the servers of a service.
     ///
     /// The record of a server's current owner is used. Until that owner has sent one, the record of
-    /// a former owner is used if the server was warm.
+    /// a former owner is used if it says that the server is warm.
     pub fn servers(&self, service: &ServiceName, view: &ClusterView) -> Vec<DirectoryServer> {
         let Some(known) = self.services.get(service) else {
             return Vec::new();
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -3,20 +3,20 @@
 use std::time::{Duration, Instant};
 
 /// First ejection after a refused or broken connection, a late answer or a high failure rate;
-/// doubles each time.
+/// doubles each time until a success resets it.
 const MIN_EJECTION: Duration = Duration::from_millis(100);
 /// Longest ejection after such failures.
 const MAX_EJECTION: Duration = Duration::from_secs(5);
-/// First ejection after a shed request; doubles each time.
+/// First ejection after a shed request; doubles each time until a success resets it.
 const MIN_SHED_EJECTION: Duration = Duration::from_millis(5);
 /// Longest ejection after a shed request.
 const MAX_SHED_EJECTION: Duration = Duration::from_millis(500);
-/// First ejection of a slow server; doubles each time.
+/// First ejection of a slow server; doubles each time and is not reset by a success.
 const MIN_SLOW_EJECTION: Duration = Duration::from_secs(1);
 /// Longest ejection of a slow server.
 const MAX_SLOW_EJECTION: Duration = Duration::from_secs(16);
-/// Divisor of the weight of one answer in the moving average of failures.
-const FAILURE_RATE_DIVISOR: f64 = 8.0;
+/// Weight of one answer in the moving average of failures.
+const FAILURE_RATE_WEIGHT: f64 = 1.0 / 8.0;
 /// Failure rate, 0 to 1, above which a server error ejects the server.
 const MAX_FAILURE_RATE: f64 = 0.5;
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Ejects a server that has become slow.
+    /// Ejects a server that has become slow, each time for twice as long.
     pub fn eject_slow(&mut self, now: Instant) {
         self.slow_ejection = (self.slow_ejection * 2).clamp(MIN_SLOW_EJECTION, MAX_SLOW_EJECTION);
         self.eject_for(self.slow_ejection, now);
@@ -94,16 +94,18 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether the server gets at most one request at a time, as after a failure until its
-    /// next success.
+    /// Returns whether the server gets at most one request at a time. This holds from an ejection for
+    /// a refused or broken connection, a late answer or a high failure rate until the next success.
+    /// Ejections for shed requests or slowness do not cause it.
     pub fn is_half_open(&self) -> bool {
         self.is_half_open
     }
 
     fn update_failure_rate(&mut self, failure: f64) {
-        self.failure_rate += (failure - self.failure_rate) / FAILURE_RATE_DIVISOR;
+        self.failure_rate += (failure - self.failure_rate) * FAILURE_RATE_WEIGHT;
     }
 
+    /// Ejects the server for twice as long as the last time, and makes it half-open.
     fn lengthen_ejection(&mut self, now: Instant) {
         self.ejection = (self.ejection * 2).clamp(MIN_EJECTION, MAX_EJECTION);
         self.is_half_open = true;
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,7 +1,7 @@
 //! Choice of a server by load reports requested for each placement.
 //!
-//! Load changes within milliseconds, so that a cached report says little. To place a request, an
-//! entry asks a few servers of the service for their load, those in its own failure domain first,
+//! Load changes within milliseconds, so that a cached report is of little use. To place a request,
+//! an entry asks a few servers of the service for their load, those in its own failure domain first,
 //! and takes the one with the lowest cost. docs/design/0008-platform.md compares this with
 //! alternatives.
 
@@ -16,13 +16,23 @@
 /// Cost of a server in another failure domain, as a part of the target latency. Accounts for the
 /// traffic between domains.
 const REMOTE_PENALTY: f64 = 0.15;
-/// Part of the target latency within which a server must be expected to answer to be taken without
+/// A server that is expected to answer within this part of the target latency is taken without
 /// asking others.
 const GOOD_ENOUGH_SHARE: f64 = 0.7;
 /// Queue length at which a server counts as full, in multiples of its slots.
 const MAX_QUEUE_FACTOR: f64 = 1.0;
-
-/// Number of servers asked after which any that is expected to meet the target is taken.
+/// Factor on the service time at a nearly full server that gives the shortest reachable target.
+const REACHABLE_TARGET_FACTOR: f64 = 1.1;
+/// Factor on the usual service time up to which an expected answer is always early enough to take the
+/// server without asking others.
+const GOOD_ENOUGH_FACTOR: f64 = 1.05;
+/// Share of failed requests from which a server is not taken without asking others.
+const GOOD_ENOUGH_FAILURE_SHARE: f64 = 0.1;
+/// Cost of a failed request in multiples of the target latency. It costs at least one target latency
+/// and is weighted with twice that.
+const FAILURE_COST_FACTOR: f64 = 2.0;
+
+/// Number of servers asked from which any healthy one that is expected to meet the target is taken.
 const MIN_ASKED_TO_ACCEPT: usize = 5;
 
 /// A server's report of its load.
@@ -71,7 +81,8 @@
 pub enum CapacityNeed {
     /// The server must be expected to answer within this time, including the wait in its queue.
     Within(Duration),
-    /// At least one slot must stay free, for requests that can still meet their target.
+    /// At least one slot must stay free, for requests that can still meet their target. A server with
+    /// a single slot has capacity while it is idle, because it could never keep a slot free.
     SpareSlot,
 }
 
@@ -103,7 +114,7 @@
     /// Returns the target latency, or 1.1 times the service time at a nearly full server if that is
     /// longer.
     pub fn reachable_target(service_time: Duration, target: Duration) -> Duration {
-        target.max(service_time.mul_f64(NEARLY_FULL_FACTOR * 1.1))
+        target.max(service_time.mul_f64(NEARLY_FULL_FACTOR * REACHABLE_TARGET_FACTOR))
     }
 }
 
@@ -137,15 +148,16 @@
 
     /// Returns whether to take the server without asking others.
     pub fn is_good_enough(&self, need: &PlacementNeed) -> bool {
-        let limit = need.target.mul_f64(GOOD_ENOUGH_SHARE).max(need.service_time.mul_f64(1.05));
+        let shortest = need.service_time.mul_f64(GOOD_ENOUGH_FACTOR);
+        let limit = need.target.mul_f64(GOOD_ENOUGH_SHARE).max(shortest);
         !self.is_unhealthy
-            && self.failure_share < 0.1
+            && self.failure_share < GOOD_ENOUGH_FAILURE_SHARE
             && self.has_capacity(need)
             && self.expected_completion(need.service_time) <= limit
     }
 
     /// Returns whether to take the server, given the number of servers asked. A good one is taken at
-    /// once; after several others, any healthy one that is expected to meet the target.
+    /// once; once several were asked, any healthy one that is expected to meet the target.
     pub fn is_acceptable(&self, need: &PlacementNeed, asked: usize) -> bool {
         self.is_good_enough(need)
             || (asked >= MIN_ASKED_TO_ACCEPT
@@ -165,8 +177,7 @@
         if self.is_unhealthy {
             cost += target;
         }
-        // A failed request costs at least its target latency; it is weighted with twice that.
-        cost + self.failure_share * 2.0 * target
+        cost + self.failure_share * FAILURE_COST_FACTOR * target
     }
 }
 
--- a/crates/policy/src/registry.rs
+++ b/crates/policy/src/registry.rs
@@ -44,8 +44,8 @@
 
 /// The registered servers of one shard owner.
 ///
-/// Invariants: no server changed after the registry's version; a server that announces
-/// `starting` or `leaving` is never cold or warm.
+/// Invariants: no server changed after the registry's version; a server that announces `starting` or
+/// `leaving` is in the stage `Leaving`, which gets no requests.
 #[derive(Debug)]
 pub struct ServerRegistry {
     owner: ShardOwnerId,
@@ -80,16 +80,19 @@
 
     /// Returns the record of a server, if it is registered.
     pub fn get(&self, server: &ServerName) -> Option<&ServerRecord> {
-        self.servers.get(server).map(|entry| &entry.record)
+        self.servers.get(server).map(|server| &server.record)
     }
 
     /// Returns the records of all servers, by name.
     pub fn records(&self) -> impl Iterator<Item = &ServerRecord> {
-        self.servers.values().map(|entry| &entry.record)
+        self.servers.values().map(|server| &server.record)
     }
 
-    /// Applies an announcement. A server that is new here or has restarted is cold, unless
-    /// `known_stage` gives the stage of this incarnation under its former owner.
+    /// Applies an announcement.
+    ///
+    /// A ready server that is new here or has restarted is cold, unless `known_stage` gives the stage
+    /// of this incarnation under its former owner. A server that announces `starting` gets the stage
+    /// `Leaving` until it is ready, since it does not accept requests yet.
     pub fn announce(
         &mut self,
         announcement: &Announcement,
@@ -104,7 +107,8 @@
         }
         let same_incarnation =
             former.filter(|f| f.record.announcement.incarnation == announcement.incarnation);
-        let Some(entry) = same_incarnation else {
+        let Some(server) = same_incarnation else {
+            // `Leaving` also stands for a starting server: neither gets requests.
             let stage = match announcement.state {
                 ServerState::Ready => known_stage.unwrap_or(ServerStage::Cold),
                 ServerState::Starting | ServerState::Leaving => ServerStage::Leaving,
@@ -112,18 +116,18 @@
             self.put(ServerRecord { announcement: announcement.clone(), stage }, lease_expiry);
             return AnnounceOutcome::Started;
         };
-        entry.lease_expiry = lease_expiry;
-        let known = &entry.record.announcement;
+        server.lease_expiry = lease_expiry;
+        let known = &server.record.announcement;
         let is_same = known.state == announcement.state
             && known.address == announcement.address
             && known.slots == announcement.slots
             && known.domain == announcement.domain;
         if is_same {
-            entry.record.announcement.sequence = announcement.sequence;
+            server.record.announcement.sequence = announcement.sequence;
             return AnnounceOutcome::Renewed;
         }
         let stage = match (announcement.state, known.state) {
-            (ServerState::Ready, ServerState::Ready) => entry.record.stage,
+            (ServerState::Ready, ServerState::Ready) => server.record.stage,
             (ServerState::Ready, _) => ServerStage::Cold,
             _ => ServerStage::Leaving,
         };
@@ -159,7 +163,8 @@
 
     /// Removes the servers whose lease has expired, and returns their names.
     pub fn expire(&mut self, now: Instant) -> Vec<ServerName> {
-        let is_expired = |(_, entry): &(&ServerName, &RegisteredServer)| entry.lease_expiry <= now;
+        let is_expired =
+            |(_, server): &(&ServerName, &RegisteredServer)| server.lease_expiry <= now;
         let expired: Vec<ServerName> =
             self.servers.iter().filter(is_expired).map(|(name, _)| name.clone()).collect();
         expired.iter().for_each(|name| self.remove(name));
@@ -173,14 +178,14 @@
             || request.since > self.version;
         let since = if is_whole { RegistryVersion(0) } else { request.since };
         let mut newer: Vec<&RegisteredServer> =
-            self.servers.values().filter(|entry| entry.changed > since).collect();
-        newer.sort_by_key(|entry| entry.changed);
+            self.servers.values().filter(|server| server.changed > since).collect();
+        newer.sort_by_key(|server| server.changed);
         let version = match newer.get(MAX_DELTA_CHANGES) {
             Some(first_omitted) => RegistryVersion(first_omitted.changed.0 - 1),
             None => self.version,
         };
-        let is_sent = |entry: &&&RegisteredServer| {
-            entry.changed <= version || entry.record.stage == ServerStage::Leaving
+        let is_sent = |server: &&&RegisteredServer| {
+            server.changed <= version || server.record.stage == ServerStage::Leaving
         };
         let mut changes: Vec<RegistryChange> = self
             .removals
@@ -189,7 +194,7 @@
             .map(|(_, name)| RegistryChange::Remove(name.clone()))
             .collect();
         changes.extend(
-            newer.iter().filter(is_sent).map(|entry| RegistryChange::Put(entry.record.clone())),
+            newer.iter().filter(is_sent).map(|server| RegistryChange::Put(server.record.clone())),
         );
         RegistryDelta { owner: self.owner.clone(), is_whole, changes, version }
     }
@@ -200,18 +205,18 @@
     ///
     /// Describes the first violation found.
     pub fn verify(&self) -> Result<(), String> {
-        for (name, entry) in &self.servers {
-            if entry.changed > self.version {
+        for (name, server) in &self.servers {
+            if server.changed > self.version {
                 return Err(format!(
                     "server {name} changed at version {}, after the registry's version {}",
-                    entry.changed.0, self.version.0
+                    server.changed.0, self.version.0
                 ));
             }
-            let is_ready = entry.record.announcement.state == ServerState::Ready;
-            if !is_ready && entry.record.stage != ServerStage::Leaving {
+            let is_ready = server.record.announcement.state == ServerState::Ready;
+            if !is_ready && server.record.stage != ServerStage::Leaving {
                 return Err(format!(
                     "server {name} announces {:?} but is in stage {:?}",
-                    entry.record.announcement.state, entry.record.stage
+                    server.record.announcement.state, server.record.stage
                 ));
             }
         }
@@ -225,14 +230,14 @@
         from: ServerStage,
         to: ServerStage,
     ) -> bool {
-        let Some(entry) = self.servers.get(server) else {
+        let Some(registered) = self.servers.get(server) else {
             return false;
         };
-        let is_match = entry.record.announcement.incarnation == incarnation
-            && entry.record.stage == from
-            && entry.record.announcement.state == ServerState::Ready;
+        let is_match = registered.record.announcement.incarnation == incarnation
+            && registered.record.stage == from
+            && registered.record.announcement.state == ServerState::Ready;
         if is_match {
-            let (record, lease) = (entry.record.clone(), entry.lease_expiry);
+            let (record, lease) = (registered.record.clone(), registered.lease_expiry);
             self.put(ServerRecord { stage: to, ..record }, lease);
         }
         is_match
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -5,7 +5,9 @@
 
 /// Grants one additional attempt for every 100 / `percent` requests.
 ///
-/// Invariant: grants never exceed `percent` percent of the recorded requests by more than ten.
+/// Invariant: while the percentage stays the same, the grants within any period exceed `percent`
+/// percent of the requests recorded in it by at most ten, the capacity of the bucket. Counted from
+/// the creation of the budget they exceed it by at most one, the attempt that a new budget holds.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     percent: u64,
@@ -20,7 +22,7 @@
         Self { percent, hundredths: if percent == 0 { 0 } else { 100 } }
     }
 
-    /// Changes the percentage.
+    /// Changes the percentage. The attempts in the bucket are kept.
     pub fn set_percent(&mut self, percent: u8) {
         self.percent = u64::from(percent);
     }
