--- a/crates/policy/examples/bench_slow.rs
+++ b/crates/policy/examples/bench_slow.rs
@@ -1,6 +1,6 @@
-//! Compares detectors of slow servers by false ejections an hour of a healthy server, and by the time
-//! to eject a server that becomes three times slower. Latencies are simulated, 100 a second for each
-//! server.
+//! Compares detectors of slow servers by the false ejections per hour of a healthy server, and by
+//! the time to eject a server that becomes three times slower. Latencies are simulated, 100 per
+//! second for each server.
 //!
 //! Run: `cargo run --release -p hawthornhill-policy --example bench_slow`
 
@@ -8,11 +8,11 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::time::Duration;
 
-/// Answers of a server a second.
+/// Answers of one server per second.
 const ANSWERS_PER_S: u32 = 100;
 /// Simulated time of a healthy server, in hours.
 const HEALTHY_HOURS: u32 = 20;
-/// Simulated servers that become slow.
+/// Number of simulated servers that become slow.
 const SLOW_RUNS: u32 = 500;
 
 /// Detects whether a server has become slow.
@@ -86,17 +86,19 @@
     let typical = Duration::from_millis(1);
     println!(
         "{:<24} {:<12} {:>16} {:>12} {:>12}",
-        "detector", "noise", "false an hour", "eject p50 ms", "eject p99 ms"
+        "detector", "noise", "false per hour", "eject p50 ms", "eject p99 ms"
     );
+    // Labels of the median tests give their false-positive probability and their horizon in
+    // samples.
     type DetectorFactory = fn() -> Box<dyn SlowDetector>;
     let detectors: [(&str, DetectorFactory); 7] = [
-        ("mean of 16 over 2", || Box::new(MeanThreshold::new(16, 2.0))),
-        ("mean of 64 over 2", || Box::new(MeanThreshold::new(64, 2.0))),
-        ("bound 1e-6 of 1000", || Box::new(MedianTest::new(1.5, 1e-6, 1_000))),
-        ("bound 1e-6 of 256", || Box::new(MedianTest::new(1.5, 1e-6, 256))),
-        ("bound 1e-6 of 128", || Box::new(MedianTest::new(1.5, 1e-6, 128))),
-        ("bound 1e-4 of 256", || Box::new(MedianTest::new(1.5, 1e-4, 256))),
-        ("bound 1e-4 of 128", || Box::new(MedianTest::new(1.5, 1e-4, 128))),
+        ("mean > 2, 16 samples", || Box::new(MeanThreshold::new(16, 2.0))),
+        ("mean > 2, 64 samples", || Box::new(MeanThreshold::new(64, 2.0))),
+        ("median, 1e-6, 1000", || Box::new(MedianTest::new(1.5, 1e-6, 1_000))),
+        ("median, 1e-6, 256", || Box::new(MedianTest::new(1.5, 1e-6, 256))),
+        ("median, 1e-6, 128", || Box::new(MedianTest::new(1.5, 1e-6, 128))),
+        ("median, 1e-4, 256", || Box::new(MedianTest::new(1.5, 1e-4, 256))),
+        ("median, 1e-4, 128", || Box::new(MedianTest::new(1.5, 1e-4, 128))),
     ];
     for noise in [LatencyNoise::Exponential, LatencyNoise::HeavyTail, LatencyNoise::Bursts] {
         for (name, make) in &detectors {
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -37,8 +37,8 @@
         Self { settings }
     }
 
-    /// Returns whether a request of this priority is admitted, given the number of requests that the
-    /// entry holds in total (`held`) and for the request's service.
+    /// Returns whether a request of this priority is admitted, given the number of requests that
+    /// the entry holds in total (`held`) and for the request's service.
     pub fn admits(&self, priority: u8, held: usize, held_by_service: usize) -> bool {
         let limit = self.settings.max_in_flight;
         let service_limit = (limit * self.settings.service_share_percent / 100).max(1);
@@ -55,9 +55,13 @@
     }
 }
 
-/// Returns the time after which a refused caller should retry: the time in which the backlog clears
-/// plus `spread` (0 to 1) times as long, so that callers refused together do not retry together.
-pub fn retry_after(backlog: Duration, spread: f64) -> Duration {
+/// Returns the time after which a caller refused by the `entry` crate should retry. The `gateway`
+/// crate uses [`retry_delay`](crate::retry_delay) instead.
+///
+/// The result is the time in which the backlog clears, at least 200 ms, plus `jitter` times as
+/// long, so that callers refused together do not retry together. `jitter` is a uniform random
+/// number from 0 to 1.
+pub fn retry_after(backlog: Duration, jitter: f64) -> Duration {
     let base = backlog.max(MIN_RETRY_AFTER);
-    base + base.mul_f64(spread.clamp(0.0, 1.0))
+    base + base.mul_f64(jitter.clamp(0.0, 1.0))
 }
--- a/crates/policy/src/cold_share.rs
+++ b/crates/policy/src/cold_share.rs
@@ -25,7 +25,8 @@
     ahead.count() < WARM_UP_ENTRIES
 }
 
-/// One warm-up entry's share of the rate of a cold server, granted as evenly spaced single requests.
+/// One warm-up entry's share of the rate of a cold server, granted as evenly spaced single
+/// requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ColdAllowance {
     next_due: Option<Instant>,
--- a/crates/policy/src/cold_start.rs
+++ b/crates/policy/src/cold_start.rs
@@ -1,9 +1,9 @@
-//! Slow start of a server that has just started: its concurrency limit grows with its successes.
+//! Warm-up of a server that has just started: its concurrency limit grows with its successes.
 
-/// Successes after which the limit grows by half, at least by one.
+/// Successes after which the limit grows by half of its value, rounded down but at least one.
 const SUCCESSES_PER_STEP: u32 = 8;
 
-/// Limits the concurrent requests at one cold server. Only the server's owner keeps one.
+/// Limits the concurrent requests at one cold server. Only the server's shard owner has one.
 ///
 /// Invariant: the limit stays between 1 and the server's slots.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -27,8 +27,8 @@
         self.limit
     }
 
-    /// Records a success. Returns true once the server is warm, which takes a full step of successes
-    /// at a limit of all its slots.
+    /// Records a success. Returns true once the server is warm, which takes a full step of
+    /// successes at a limit of all its slots.
     pub fn record_success(&mut self) -> bool {
         self.successes += 1;
         if self.successes < SUCCESSES_PER_STEP {
--- a/crates/policy/src/directory.rs
+++ b/crates/policy/src/directory.rs
@@ -47,8 +47,8 @@
 }
 
 impl ServerDirectory {
-    /// Applies a heartbeat of an owner. Returns the request for the changes that this entry lacks, if
-    /// any.
+    /// Applies a heartbeat of an owner. Returns the request for the changes that this entry lacks,
+    /// if any.
     pub fn observe_beat(&mut self, beat: &OwnerHeartbeat, now: Instant) -> Option<RegistryRequest> {
         let copy = self
             .copies
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Applies a delta that was requested at `requested_at`. Returns the services whose servers changed.
+    /// Applies a delta that was requested at `requested_at`. Returns the services whose servers
+    /// changed.
     pub fn apply(&mut self, delta: &RegistryDelta, requested_at: Instant) -> BTreeSet<ServiceName> {
         let mut changed = BTreeSet::new();
         let owner = &delta.owner.entry;
--- a/crates/policy/src/entry_ranking.rs
+++ b/crates/policy/src/entry_ranking.rs
@@ -5,8 +5,8 @@
 /// Returns at most `limit` serving entries outside drained failure domains, in the order of
 /// rendezvous hashing by service.
 ///
-/// Every entry computes the same order, so that the requests of a service arrive at few entries.
-/// Their own counts of requests in flight then cover most of the service's load.
+/// Every entry computes the same order, so the requests of a service arrive at few entries, whose
+/// own counts of requests in flight cover most of the service's load.
 pub fn rank_entries<'a>(
     view: &'a ClusterView,
     service: &ServiceName,
--- a/crates/policy/src/first_routes.rs
+++ b/crates/policy/src/first_routes.rs
@@ -1,7 +1,8 @@
 //! How long requests wait for the routes of an entry that has just started.
 //!
 //! Replicas that start together with the entry elect a leader and send a view within a fraction of
-//! a second. A caller refused in that time would retry only after its answer could have been ready.
+//! a second. A request that waits for the view is answered sooner than one that is refused and sent
+//! again by its caller.
 
 use std::time::{Duration, Instant};
 
@@ -17,9 +18,9 @@
 
 impl Default for StartupWait {
     fn default() -> Self {
-        // Twice the time that the slowest of 132 entries needed after a restart of all processes.
+        // When all processes restart, the slowest of 132 entries has routes after half of this time.
         let expected_within = Duration::from_secs(1);
-        // Together with the usual service time, still within most target latencies.
+        // This wait plus the usual service time is within most target latencies.
         let max_wait = Duration::from_millis(600);
         Self { expected_within, max_wait }
     }
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -1,4 +1,4 @@
-//! Check that an entry makes directly before it starts new work.
+//! Check whether an entry's view is recent enough, made directly before new work starts.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -16,8 +16,8 @@
 }
 
 impl FreshnessGate {
-    /// Returns a gate that stays closed until the first confirmation. `origin` is the time from which
-    /// it counts.
+    /// Returns a gate that stays closed until the first confirmation. `origin` is the time from
+    /// which it counts.
     pub fn new(origin: Instant) -> Self {
         Self { origin, fresh_as_of_us: AtomicU64::new(0) }
     }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -94,9 +94,9 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether the server gets at most one request at a time. This holds from an ejection for
-    /// a refused or broken connection, a late answer or a high failure rate until the next success.
-    /// Ejections for shed requests or slowness do not cause it.
+    /// Returns whether the server gets at most one request at a time. This holds from an ejection
+    /// for a refused or broken connection, a late answer or a high failure rate until the next
+    /// success. Ejections for shed requests or slowness do not cause it.
     pub fn is_half_open(&self) -> bool {
         self.is_half_open
     }
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,4 +1,5 @@
-//! Streaming estimates of latency: an exponentially weighted mean, the median and the 95th percentile.
+//! Streaming estimates of latency: an exponentially weighted mean, the median and the 95th
+//! percentile.
 
 use std::time::Duration;
 
@@ -59,8 +60,8 @@
     }
 }
 
-/// Returns the signed step of a quantile estimate, as a multiple of the step size. Up and down steps
-/// balance when the sample is above the estimate with probability `1 - quantile`.
+/// Returns the signed step of a quantile estimate, as a multiple of the step size. Up and down
+/// steps balance when the sample is above the estimate with probability `1 - quantile`.
 fn quantile_step(is_above: bool, quantile: f64) -> f64 {
     if is_above { quantile } else { quantile - 1.0 }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,8 +1,8 @@
 //! Choice of a server by load reports requested for each placement.
 //!
 //! Load changes within milliseconds, so that a cached report is of little use. To place a request,
-//! an entry asks a few servers of the service for their load, those in its own failure domain first,
-//! and takes the one with the lowest cost. docs/design/0008-platform.md compares this with
+//! an entry asks a few servers of the service for their load, those in its own failure domain
+//! first, and takes the one with the lowest cost. docs/design/0008-platform.md compares this with
 //! alternatives.
 
 use std::time::Duration;
@@ -23,13 +23,13 @@
 const MAX_QUEUE_FACTOR: f64 = 1.0;
 /// Factor on the service time at a nearly full server that gives the shortest reachable target.
 const REACHABLE_TARGET_FACTOR: f64 = 1.1;
-/// Factor on the usual service time up to which an expected answer is always early enough to take the
-/// server without asking others.
+/// A server that is expected to answer within this multiple of the usual service time is taken
+/// without asking others, even if that is a larger part of the target latency.
 const GOOD_ENOUGH_FACTOR: f64 = 1.05;
 /// Share of failed requests from which a server is not taken without asking others.
 const GOOD_ENOUGH_FAILURE_SHARE: f64 = 0.1;
-/// Cost of a failed request in multiples of the target latency. It costs at least one target latency
-/// and is weighted with twice that.
+/// Cost of a failed request, in multiples of the target latency. A failure delays the caller by at
+/// least one target latency and is weighted with twice that.
 const FAILURE_COST_FACTOR: f64 = 2.0;
 
 /// Number of servers asked from which any healthy one that is expected to meet the target is taken.
@@ -81,8 +81,8 @@
 pub enum CapacityNeed {
     /// The server must be expected to answer within this time, including the wait in its queue.
     Within(Duration),
-    /// At least one slot must stay free, for requests that can still meet their target. A server with
-    /// a single slot has capacity while it is idle, because it could never keep a slot free.
+    /// At least one slot must stay free, for requests that can still meet their target. A server
+    /// with a single slot has capacity while it is idle, because it could never keep a slot free.
     SpareSlot,
 }
 
@@ -99,8 +99,8 @@
 
 impl PlacementNeed {
     /// Returns the requirements of a request with `left` of its target latency remaining. A target
-    /// that is too short for the service time is extended to [`PlacementNeed::reachable_target`], so
-    /// that the request can still be placed.
+    /// that is too short for the service time is extended to [`PlacementNeed::reachable_target`],
+    /// so that the request can still be placed.
     pub fn within(service_time: Duration, target: Duration, left: Duration) -> Self {
         let used = target.saturating_sub(left);
         let reachable = Self::reachable_target(service_time, target);
@@ -156,8 +156,8 @@
             && self.expected_completion(need.service_time) <= limit
     }
 
-    /// Returns whether to take the server, given the number of servers asked. A good one is taken at
-    /// once; once several were asked, any healthy one that is expected to meet the target.
+    /// Returns whether to take the server, given the number of servers asked. A good one is taken
+    /// at once; once several were asked, any healthy one that is expected to meet the target.
     pub fn is_acceptable(&self, need: &PlacementNeed, asked: usize) -> bool {
         self.is_good_enough(need)
             || (asked >= MIN_ASKED_TO_ACCEPT
--- a/crates/policy/src/probe_budget.rs
+++ b/crates/policy/src/probe_budget.rs
@@ -4,8 +4,8 @@
 
 /// Grants evenly spaced probes; unused probes do not accumulate.
 ///
-/// Only the owner of a server probes it. A new owner starts with an empty budget and waits a full
-/// interval, so that the rate holds across changes of owner without coordination.
+/// Only the shard owner of a server probes it. A new shard owner starts with an empty budget and
+/// waits a full interval, so that the rate holds across changes of owner without coordination.
 #[derive(Debug, Clone)]
 pub struct ProbeBudget {
     interval: Option<Duration>,
@@ -13,7 +13,8 @@
 }
 
 impl ProbeBudget {
-    /// Returns a budget that grants its first probe one interval after `now`, and none at a rate of 0.
+    /// Returns a budget that grants its first probe one interval after `now`, and none at a rate of
+    /// 0.
     pub fn new(probes_per_minute: u16, now: Instant) -> Self {
         let interval = match probes_per_minute {
             0 => None,
--- a/crates/policy/src/registry.rs
+++ b/crates/policy/src/registry.rs
@@ -17,8 +17,8 @@
 pub const ANNOUNCEMENT_LEASE: Duration = Duration::from_secs(10);
 /// Maximum number of changes in one answer, besides those sent out of turn.
 const MAX_DELTA_CHANGES: usize = 256;
-/// Maximum number of removals kept for entries that are behind. Entries behind by more get the whole
-/// registry.
+/// Maximum number of removals kept for entries that are behind. Entries behind by more get the
+/// whole registry.
 const MAX_KEPT_REMOVALS: usize = 4_096;
 
 /// What an announcement changed.
@@ -44,8 +44,8 @@
 
 /// The registered servers of one shard owner.
 ///
-/// Invariants: no server changed after the registry's version; a server that announces `starting` or
-/// `leaving` is in the stage `Leaving`, which gets no requests.
+/// Invariants: no server changed after the registry's version; a server that announces `starting`
+/// or `leaving` is in the stage `Leaving`, which gets no requests.
 #[derive(Debug)]
 pub struct ServerRegistry {
     owner: ShardOwnerId,
@@ -90,9 +90,9 @@
 
     /// Applies an announcement.
     ///
-    /// A ready server that is new here or has restarted is cold, unless `known_stage` gives the stage
-    /// of this incarnation under its former owner. A server that announces `starting` gets the stage
-    /// `Leaving` until it is ready, since it does not accept requests yet.
+    /// A ready server that is new here or has restarted is cold, unless `known_stage` gives the
+    /// stage of this incarnation under its former owner. A server that announces `starting` gets
+    /// the stage `Leaving` until it is ready, since it does not accept requests yet.
     pub fn announce(
         &mut self,
         announcement: &Announcement,
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -37,32 +37,34 @@
 /// Latency assumed of a server whose latency is unknown.
 const UNKNOWN_LATENCY: Duration = Duration::from_millis(1);
 
-/// Picks the better of two random servers: the one with the lower expected wait.
+/// Picks the better of two random servers: the one with the lower expected latency.
 ///
-/// The expected wait is the mean latency times the requests ahead. The weight of a load report in
-/// the requests ahead falls linearly with the age of the report.
+/// The expected latency is the mean latency times the number of requests in flight plus one. A load
+/// report raises the number of requests in flight with a weight that falls linearly with its age.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LatencySelector;
 
 impl ServerSelector for LatencySelector {
     fn pick(&self, candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize> {
-        better_of_two(candidates, rng, expected_wait)
+        better_of_two(candidates, rng, expected_latency)
     }
 }
 
-fn expected_wait(candidate: &CandidateLoad) -> f64 {
+/// Returns the expected latency of another request, in seconds.
+fn expected_latency(candidate: &CandidateLoad) -> f64 {
     let latency = if candidate.latency.is_zero() { UNKNOWN_LATENCY } else { candidate.latency };
     let own = f64::from(candidate.in_flight);
-    let ahead = match candidate.report {
+    let in_flight = match candidate.report {
         Some((load, age)) if age < REPORT_MAX_AGE => {
             let weight = 1.0 - age.as_secs_f64() / REPORT_MAX_AGE.as_secs_f64();
             own + weight * (f64::from(load) - own).max(0.0)
         }
         _ => own,
     };
-    latency.as_secs_f64() * (ahead + 1.0)
+    latency.as_secs_f64() * (in_flight + 1.0)
 }
 
+/// Returns the index of a random candidate below its limit.
 fn pick_below_limit(candidates: &[CandidateLoad], rng: &mut dyn RngCore) -> Option<usize> {
     let count = candidates.iter().filter(|candidate| candidate.has_capacity()).count();
     if count == 0 {
@@ -73,6 +75,7 @@
     below_limit.nth(chosen).map(|(index, _)| index)
 }
 
+/// Returns the index of the cheaper of two random candidates below their limits.
 fn better_of_two(
     candidates: &[CandidateLoad],
     rng: &mut dyn RngCore,
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -13,7 +13,8 @@
 };
 use types::{EntryName, ServerIncarnation, ServerName, ServerRecord, ServerStage, SuspectKind};
 
-/// Time for which a suspected server gets no requests, unless its owner sends a changed record first.
+/// Time for which a suspected server gets no requests, unless its shard owner sends a changed
+/// record first.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Age of the last sample from which a server's latency counts as unknown.
@@ -35,9 +36,9 @@
 pub struct ServerView {
     /// Announcement and stage.
     pub record: ServerRecord,
-    /// Owner of the server.
+    /// Shard owner of the server.
     pub owner: EntryName,
-    /// Whether this entry is the owner and may send it requests while it is cold.
+    /// Whether this entry is the shard owner and may send the server requests while it is cold.
     pub may_warm: bool,
     /// Whether the server's failure domain is drained.
     pub is_drained: bool,
@@ -54,9 +55,10 @@
     report: Option<(u32, Instant)>,
     health: ServerHealth,
     slowness: MedianTest,
-    /// Slow start, if this entry owns the server and it is cold.
+    /// Warm-up ramp, if the server is cold and this entry may warm it.
     ramp: Option<ColdRamp>,
-    /// End of the suspicion of this incarnation, unless its owner sends a changed record first.
+    /// End of the suspicion of this incarnation, unless the shard owner sends a changed record
+    /// first.
     suspected_until: Option<Instant>,
 }
 
@@ -69,7 +71,7 @@
     pub address: SocketAddr,
     /// Incarnation when it was picked.
     pub incarnation: ServerIncarnation,
-    /// Owner of the server.
+    /// Shard owner of the server.
     pub owner: EntryName,
 }
 
@@ -82,7 +84,7 @@
     Busy,
     /// There is no server to which this entry may send requests.
     NoneEligible {
-        /// Owners of cold servers of this service, which may send them requests.
+        /// Shard owners of cold servers of this service, which may send them requests.
         cold_owners: SmallVec<[EntryName; 2]>,
     },
 }
@@ -90,18 +92,18 @@
 /// State changes of a server found at the end of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReleaseOutcome {
-    /// Whether the server has completed its slow start.
+    /// Whether the server has completed its warm-up.
     pub is_warm: bool,
     /// Whether the server has become slow and was ejected.
     pub is_slow: bool,
-    /// Suspicion to report to the server's owner, if any.
+    /// Suspicion to report to the server's shard owner, if any.
     pub suspicion: Option<SuspectKind>,
 }
 
 /// The servers of one service.
 ///
-/// Invariant: a cold server gets a request only if this entry is its owner and has fewer requests in
-/// flight there than its ramp allows.
+/// Invariant: a cold server gets a request only if this entry is its shard owner and has fewer
+/// requests in flight there than the warm-up ramp allows.
 pub struct ServiceLoad {
     settings: LoadSettings,
     servers: Vec<TrackedServer>,
@@ -113,7 +115,7 @@
         Self { settings, servers: Vec::new() }
     }
 
-    /// Sets the initial limit of a cold server, for ramps that start later.
+    /// Sets the initial limit of cold servers, for warm-up ramps that start later.
     pub fn set_cold_concurrency(&mut self, cold_concurrency: u16) {
         self.settings.cold_concurrency = cold_concurrency;
     }
@@ -137,9 +139,9 @@
 
     /// Picks a server for one request and counts the request as in flight there.
     ///
-    /// Skips the servers in `excluded` and those of owners whose records are out of date, for which
-    /// `is_confirmed` returns false. With `prefers_cold`, a cold server owned by this entry is picked
-    /// first if one is below its limit.
+    /// Skips the servers in `excluded` and those of shard owners whose records are out of date, for
+    /// which `is_confirmed` returns false. With `prefers_cold`, a cold server owned by this entry
+    /// is picked first if one is below its limit.
     pub fn pick(
         &mut self,
         excluded: &[ServerName],
@@ -172,7 +174,7 @@
         PickResult::NoneEligible { cold_owners: self.cold_owners(is_confirmed) }
     }
 
-    /// Returns the owners of the cold servers to which this entry may not send requests.
+    /// Returns the shard owners of the cold servers to which this entry may not send requests.
     pub fn cold_owners(
         &self,
         is_confirmed: impl Fn(&EntryName) -> bool,
@@ -190,8 +192,8 @@
         owners
     }
 
-    /// Records the end of a request at a picked server. Updates only the count of requests in flight
-    /// if the server has restarted since.
+    /// Records the end of a request at a picked server. Updates only the count of requests in
+    /// flight if the server has restarted since.
     pub fn release(
         &mut self,
         picked: &PickedServer,
@@ -221,7 +223,8 @@
         release
     }
 
-    /// Returns whether this entry may send requests to any server, now or once it is below its limit.
+    /// Returns whether this entry may send requests to any server, now or once it is below its
+    /// limit.
     pub fn has_eligible(&self, is_confirmed: impl Fn(&EntryName) -> bool, now: Instant) -> bool {
         self.servers.iter().any(|server| server.limit(now) > 0 && is_confirmed(&server.view.owner))
     }
@@ -249,7 +252,8 @@
         self.servers.iter().map(|server| server.limit(now)).sum()
     }
 
-    /// Checks that no server has more requests in flight than slots.
+    /// Checks that no server has more requests in flight than slots. One request is allowed at a
+    /// server without slots.
     ///
     /// # Errors
     ///
@@ -307,6 +311,8 @@
         }
     }
 
+    /// Returns the index of the first cold server that this entry may warm and that is below its
+    /// limit.
     fn pick_cold(&self, candidates: &[CandidateLoad]) -> Option<usize> {
         self.servers.iter().zip(candidates).position(|(server, candidate)| {
             server.ramp.is_some() && candidate.in_flight < candidate.limit
@@ -314,7 +320,7 @@
     }
 }
 
-/// What a server reports about itself in an answer.
+/// Report of a server about itself, sent with an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerReport {
     /// Requests in flight at the server.
@@ -362,7 +368,8 @@
 }
 
 impl TrackedServer {
-    /// Returns the load by which servers are compared. An unknown latency counts as the typical one.
+    /// Returns the load by which servers are compared. An unknown latency counts as the typical
+    /// one.
     fn candidate(&self, is_usable: bool, typical: Duration, now: Instant) -> CandidateLoad {
         let known = self.recent_latency(now);
         let age = |at: Instant| now.saturating_duration_since(at);
@@ -374,7 +381,7 @@
         }
     }
 
-    /// Returns the mean latency, or zero for "unknown" if the last sample is old: a server that was
+    /// Returns the mean latency, or zero for "unknown" if the last sample is old. A server that was
     /// slow must get requests again to show that it has recovered.
     fn recent_latency(&self, now: Instant) -> Duration {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < LATENCY_MAX_AGE;
@@ -417,6 +424,7 @@
         }
     }
 
+    /// Records the end of a request. The result leaves `is_slow` false.
     fn record_end(
         &mut self,
         outcome: AttemptOutcome,
@@ -475,8 +483,8 @@
     }
 }
 
-/// Returns the expected wait of a request queued behind `waiting` others, given the number of
-/// concurrent requests and their mean latency.
+/// Returns the expected wait of a request queued behind `waiting` others, given the maximum number
+/// of concurrent requests (`capacity`) and their mean latency.
 pub fn expected_wait(waiting: usize, capacity: u32, latency: Duration) -> Duration {
     latency.mul_f64((waiting + 1) as f64 / f64::from(capacity.max(1)))
 }
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -1,8 +1,8 @@
 //! Estimate of the usual service time at an idle server.
 //!
 //! The estimate moves towards the median of the observed times by small steps, so that a short
-//! series of slow answers changes it little. An entry sees few requests of each service, and an
-//! estimate that is too long would make it count every request as late.
+//! series of slow answers changes it little. An entry sees few requests of each service, and with
+//! an estimate that is too long it would count every request as late.
 
 use std::time::Duration;
 
--- a/crates/policy/src/shared_budget.rs
+++ b/crates/policy/src/shared_budget.rs
@@ -1,7 +1,7 @@
 //! One entry's share of the retry budget of all entries.
 //!
-//! Each entry limits its retries to a fraction of its own requests and a share of the slack, so that
-//! the total stays within the budget without messages between entries.
+//! Each entry limits its retries to a fraction of its own requests and a share of the slack, so
+//! that the total stays within the budget without messages between entries.
 
 use std::{
     collections::VecDeque,
@@ -11,7 +11,7 @@
 /// Part of the budget that entries use. The rest covers entries that are not in the view yet.
 const USED_SHARE: f64 = 0.75;
 
-/// The retry budget of all entries together, for each service.
+/// The retry budget of one service, for all entries together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimits {
     /// Retries for each request.
--- a/crates/policy/src/wait_queue.rs
+++ b/crates/policy/src/wait_queue.rs
@@ -2,8 +2,8 @@
 //!
 //! While all servers are full, only the request at the head of the queue asks them for their load.
 //! Requests that can still meet their target latency come first, then routes of higher priority,
-//! then earlier arrivals. Late requests are worth less to their callers but are still served when
-//! there is capacity.
+//! then earlier arrivals. An answer after the target latency is worth less to the caller, but late
+//! requests are still served when there is capacity.
 
 use std::{collections::BTreeMap, time::Instant};
 
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Limits over time: retry and probe budgets, slow start and the freshness gate.
+//! Limits over time: retry and probe budgets, the warm-up ramp and the freshness gate.
 
 use hawthornhill_policy::{ColdRamp, FreshnessGate, ProbeBudget, RetryBudget};
 use proptest::prelude::*;
@@ -7,8 +7,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A burst of failures must not let retries exceed their percentage of the requests, apart from
-    /// the one attempt that a new budget holds.
+    /// Guards against a burst of failures that causes too many retries. Counted from the creation
+    /// of a budget, retries exceed their percentage of the requests by at most the one attempt that
+    /// a new budget holds.
     #[test]
     fn retries_stay_within_their_percentage(percent in 0..=100_u8, requests in 1..5_000_u32) {
         let mut budget = RetryBudget::new(percent);
@@ -20,8 +21,8 @@
         prop_assert!(granted * 100 <= requests * u32::from(percent) + 100);
     }
 
-    /// A change of owner starts a new budget. The probes of one server must not exceed the rate in
-    /// any window of a minute, whenever the owner changes.
+    /// Guards against too many probes after a change of shard owner, which starts a new budget: the
+    /// probes of one server must not exceed the rate in any window of a minute.
     #[test]
     fn probes_stay_within_their_rate_when_the_owner_changes(
         rate in 1..600_u16, changes in proptest::collection::vec(0..60_000_u64, 0..8)
--- a/crates/policy/tests/first_routes.rs
+++ b/crates/policy/tests/first_routes.rs
@@ -1,5 +1,5 @@
-//! Requests that reach an entry before its first view, as after a power loss that restarts all
-//! processes while the callers keep sending.
+//! Requests that reach an entry before its first view, for example after a power loss that restarts
+//! all processes while callers keep sending.
 
 use hawthornhill_policy::StartupWait;
 use std::time::{Duration, Instant};
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,5 +1,5 @@
-//! Placement under load: choice of server, order of waiting requests, refusals and backoff. Each test
-//! names the load pattern or fault that it covers.
+//! Placement under load: choice of server, order of waiting requests, refusals and backoff. The
+//! name of each test says which load pattern or fault it covers.
 
 use hawthornhill_policy::{
     BudgetLimits, CallerTimeouts, CapacityForecast, CapacityNeed, ColdAllowance,
@@ -63,8 +63,8 @@
 
 #[test]
 fn burst_does_not_queue_at_a_server_beyond_the_target() {
-    // Expected completion: 120 ms * 1.7 * 4/3 = 272 ms with an empty queue, 340 ms behind one waiting
-    // request.
+    // Expected completion: 120 ms * 1.7 * 4/3 = 272 ms with an empty queue, 340 ms behind one
+    // waiting request.
     assert_eq!(cheapest_candidate(&[local(load(3, 0, 100))], &NEED), Some(0));
     assert_eq!(cheapest_candidate(&[local(load(3, 1, 100))], &NEED), None);
     let half_used = PlacementNeed::within(NEED.service_time, NEED.target, NEED.target / 2);
@@ -136,7 +136,7 @@
     assert_eq!(timeouts.record(now, left), Duration::from_millis(400));
     // A slightly shorter timeout is within the spread of initial timeouts: a first attempt.
     assert_eq!(timeouts.record(now, Duration::from_millis(2_100)), Duration::ZERO);
-    // The longest timeout expires when it is no longer stated.
+    // The longest timeout expires if no caller states it for more than 60 s.
     assert_eq!(timeouts.record(now + Duration::from_secs(61), left), Duration::ZERO);
 }
 
@@ -152,7 +152,7 @@
         if millis % (1_000 / requests_a_second) == 0 {
             budget.record_request(now, &limits);
         }
-        // Retries each request about ten times: 62.5 a second against 6 requests a second.
+        // Tries to retry each request about ten times: 62.5 retries to 6 requests per second.
         if millis % 16 == 0 && budget.take(now, &limits, entries) {
             granted.push(now);
         }
@@ -188,7 +188,8 @@
         for first in &sent {
             let within_a_second =
                 sent.iter().filter(|t| *t >= first && **t - *first < Duration::from_secs(1));
-            // Required bound: rate * 1.5 + 5 in any second.
+            // Required bound: rate * 1.5 + 5 in any second, which is 12.8 at 5.2 requests per
+            // second.
             assert!(within_a_second.count() <= 12);
         }
         assert!(sent.len() >= 10, "the rate is used: {}", sent.len());
@@ -207,8 +208,8 @@
     );
 }
 
-/// An entry with one request a second must not mistake a short series of slow answers for the usual
-/// service time.
+/// Guards against an entry that takes a short series of slow answers for the usual service time, as
+/// it may with about one request a second.
 #[test]
 fn noisy_neighbour_does_not_move_the_usual_service_time() {
     let mut usual = ServiceTime::new(Duration::from_millis(120));
@@ -219,17 +220,18 @@
         let estimate = usual.get().as_millis();
         assert!((95..=150).contains(&estimate), "{estimate} ms after {round}");
     }
-    // A lasting change is followed.
+    // The estimate follows a lasting change.
     (0..60).for_each(|_| usual.record(Duration::from_millis(300)));
     assert_eq!(usual.get(), Duration::from_millis(300));
 }
 
-/// Guards against servers that shed some requests at random while they have free slots: a caller that
-/// retries immediately still meets its target; one that waits for a slot to become free is late.
+/// Guards against servers that shed some requests at random while they have free slots: a caller
+/// that retries immediately still meets its target; one that waits for a slot to become free is
+/// late.
 #[test]
 fn caller_shed_by_a_server_with_free_slots_retries_immediately() {
-    for draw in [0.0, 0.5, 1.0] {
-        let wait = retry_delay(CapacityForecast::Now, draw);
+    for jitter in [0.0, 0.5, 1.0] {
+        let wait = retry_delay(CapacityForecast::Now, jitter);
         assert!(wait > Duration::ZERO && wait <= Duration::from_millis(100), "{wait:?}");
     }
 }
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -340,8 +340,8 @@
     }
 }
 
-/// Returns how many of 4,000 requests go to the server "slow" after its latency rises by `factor` at
-/// the 1,000th request. Servers are picked at random, so that only ejection keeps requests away.
+/// Returns how many of 4,000 requests go to the server "slow" after its latency rises by `factor`
+/// at the 1,000th request. Servers are picked at random, so that only ejection keeps requests away.
 fn picks_of_slow_server(factor: f64, healthy: &[&str]) -> u32 {
     let start = Instant::now();
     let settings = LoadSettings { selector: Arc::new(RandomSelector), ..load_settings() };
@@ -407,8 +407,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A cold server never gets more concurrent requests than its ramp allows: one, plus one for every
-    /// eight successes since the last failure, and never more than its slots.
+    /// A cold server never gets more concurrent requests than its warm-up ramp allows. The ramp
+    /// grows by half of its value, at least by one, for every eight successes since the last
+    /// failure. From one request to the three slots of this server, that is one for every eight
+    /// successes.
     #[test]
     fn cold_server_is_not_overloaded(actions in proptest::collection::vec(0..5_u8, 1..400)) {
         let now = Instant::now();
