--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -6,7 +6,10 @@
 /// The reason why a request to the control plane failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ControlError {
-    /// No leader decided in time. The same request may be sent again to any replica.
+    /// The result is not known, or the request was refused, for the reason given: no quorum or
+    /// leader answered in time, the leader refused the request or answered another one, or this
+    /// replica does not have the routing document yet. The same request may be sent again to any
+    /// replica.
     #[error("no decision in time: {0}")]
     Unavailable(String),
     /// The routing document is not valid.
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -1,4 +1,4 @@
-//! Bootstraps the set of replicas from seeds, joins it, and replaces lost members.
+//! Bootstraps the set of replicas from seeds, joins it, and removes lost members.
 
 use crate::membership::{MemberHealth, plan_member_change};
 use consensus::{Member, MemberRole, MembershipChange, ReplicaId};
@@ -14,6 +14,7 @@
 };
 use types::HostName;
 
+/// Period of the checks of the set of replicas.
 const CHECK_PERIOD: Duration = Duration::from_millis(300);
 /// Timeout of one membership change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -26,15 +27,16 @@
     pub host: HostName,
     /// Address at which other replicas reach this one.
     pub address: SocketAddr,
-    /// Addresses of the replicas that bootstrap a new set.
+    /// Addresses of the replicas that bootstrap a new set of replicas.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time. Only then do the seeds bootstrap the set
+    /// of replicas; all other replicas join it.
     pub is_first_start: bool,
     /// Minimum number of active voters that must remain when a lost one is removed.
     pub min_voters: usize,
 }
 
-/// Keeps this replica a member of the set, and replaces lost members while this replica leads.
+/// Keeps this replica a member of the set of replicas, and removes lost members while it leads.
 pub struct MembershipManager {
     settings: MembershipSettings,
     replica: ReplicaHandle,
@@ -47,7 +49,7 @@
 }
 
 /// Returns the identity of a seed when the system starts for the first time: the FNV-1a hash of its
-/// address. All seeds thus bootstrap the same set without communication.
+/// address. All seeds thus bootstrap the same set of replicas without communication.
 pub fn seed_identity(address: SocketAddr) -> ReplicaId {
     let hash = address.to_string().bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -56,7 +58,7 @@
 }
 
 impl MembershipManager {
-    /// Returns a manager for the membership of `replica`.
+    /// Returns a manager that makes and keeps `replica` a member of the set of replicas.
     pub fn new(
         settings: MembershipSettings,
         replica: ReplicaHandle,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Checks the membership periodically until the timer service or the replica stops.
+    /// Checks the set of replicas periodically until the timer service or the replica stops.
     pub async fn run(mut self, timer: TimerService) {
         let mut ticks = timer.subscribe(CHECK_PERIOD);
         loop {
@@ -87,6 +89,8 @@
         }
     }
 
+    /// Makes the change that is due: promotion, join or bootstrap of this replica, and removal of a
+    /// lost member if it leads.
     async fn check(&mut self, status: &ReplicaStatus) {
         let own = status.members.iter().find(|member| member.member.id == status.id);
         match own.map(|own| own.member.role) {
@@ -98,7 +102,7 @@
             None => self.bootstrap_or_join(status.id).await,
         }
         if status.is_leader {
-            self.replace_lost_member(status).await;
+            self.remove_lost_member(status).await;
         } else {
             self.last_active.clear();
         }
@@ -133,7 +137,8 @@
         self.change_membership(MembershipChange::AddLearner(member)).await;
     }
 
-    async fn replace_lost_member(&mut self, status: &ReplicaStatus) {
+    /// Removes one lost member if that is safe. The replica that replaces it joins by itself.
+    async fn remove_lost_member(&mut self, status: &ReplicaStatus) {
         let now = Instant::now();
         self.last_active.retain(|id, _| status.members.iter().any(|m| m.member.id == *id));
         let mut members = Vec::with_capacity(status.members.len());
@@ -157,6 +162,7 @@
         let text = format!("{change:?}");
         let deadline = Instant::now() + CHANGE_TIMEOUT;
         match self.leader.change_membership(change, deadline).await {
+            // The leader has accepted the change, which need not be committed yet.
             SubmitResult::Applied(_) => {
                 info!(self.logger, "set of replicas changes"; "change" => text);
             }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
 //! The control plane that replicas provide to operators, servers and callers that look up entries.
 //!
 //! Commands of operators and changes of the registry go through the leader and are answered only
-//! once they are in the replicated log. The set of replicas bootstraps from seeds and replaces lost
-//! members.
+//! once they are committed to the replicated log. The set of replicas is bootstrapped from seeds;
+//! lost members are removed, and new replicas join.
 
 mod directory;
 mod error;
--- a/crates/control/src/liveness.rs
+++ b/crates/control/src/liveness.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use types::{Announcement, ServerIncarnation, ServerName};
 
-/// Period of the reports; a fraction of a server's lease.
+/// Period of the reports; a fraction of the server lease that the leader renews when it gets one.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Servers that announced themselves since the last report.
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -1,4 +1,4 @@
-//! Decides which member of the set of replicas to replace next.
+//! Decides which lost member of the set of replicas to remove next.
 
 use consensus::{MemberRole, MembershipChange};
 use replica::MemberStatus;
@@ -7,6 +7,10 @@
 /// Inactivity after which a voter counts as permanently lost. Longer than a restart, so that a
 /// voter that restarts with its disk remains a member.
 const VOTER_LOSS_TIMEOUT: Duration = Duration::from_secs(8);
+/// Inactivity from which a voter no longer counts as active when the removal of another is decided;
+/// a quarter of [`VOTER_LOSS_TIMEOUT`]. `MemberStatus::is_active` alone is not used for this, since
+/// the leader clears it at every quorum check.
+const VOTER_ACTIVE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Inactivity after which a learner is removed.
 const LEARNER_LOSS_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -15,14 +19,16 @@
 pub struct MemberHealth {
     /// Identity, role and replication lag.
     pub status: MemberStatus,
-    /// Time since the member was last active; zero for the leader itself.
+    /// Time since the leader last saw the member's `MemberStatus::is_active` set; zero for the
+    /// leader itself.
     pub inactive_for: Duration,
 }
 
-/// Returns the next change that replaces a lost member, if one is due.
+/// Returns the removal of the first lost member in the list, or `None` if there is none or its
+/// removal is not safe. The member that replaces it joins by itself.
 ///
 /// A voter is removed only if more than half of the remaining voters, and at least `min_voters` of
-/// them, are active.
+/// them, were active within the last 2 s.
 pub fn plan_member_change(members: &[MemberHealth], min_voters: usize) -> Option<MembershipChange> {
     let lost = members.iter().find(|member| is_lost(member, members))?;
     let id = lost.status.member.id;
@@ -34,8 +40,7 @@
             .iter()
             .filter(|m| m.status.member.role == MemberRole::Voter && m.status.member.id != id)
     };
-    let active =
-        other_voters().filter(|member| member.inactive_for < VOTER_LOSS_TIMEOUT / 4).count();
+    let active = other_voters().filter(|member| member.inactive_for < VOTER_ACTIVE_TIMEOUT).count();
     let is_safe = active >= min_voters && active * 2 > other_voters().count();
     is_safe.then_some(MembershipChange::Remove(id))
 }
--- a/crates/control/src/plane.rs
+++ b/crates/control/src/plane.rs
@@ -19,7 +19,7 @@
     RoutingDocument, RoutingVersion, ServerName, ServerState, SourceText,
 };
 
-/// Timeout of a decision. Clients of the control plane wait 1 s for an answer.
+/// Timeout of a decision. Shorter than the 1 s for which clients of the control plane wait.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Timeout for the local replica to apply what the leader has confirmed.
@@ -37,8 +37,8 @@
     /// Removes a departed server.
     async fn depart(&self, server: ServerName) -> Result<(), ControlError>;
 
-    /// Puts a routing document in force, unless a higher version is in force. `source` is its text
-    /// as the operator sent it. Returns the version in force.
+    /// Puts a routing document in force, unless a higher version is in force. `source` is the text
+    /// of the document as the operator sent it. Returns the version in force.
     async fn put_routing(
         &self,
         document: RoutingDocument,
@@ -52,7 +52,7 @@
     async fn set_drain(&self, domain: DomainName, is_drained: bool) -> Result<(), ControlError>;
 }
 
-/// The control plane of a replica, which submits every decision to the leader, local or remote.
+/// The control plane of a replica, which submits every command to the leader, local or remote.
 pub struct ReplicaControl {
     replica: ReplicaHandle,
     leader: Arc<LeaderClient>,
@@ -81,6 +81,8 @@
         Arc::new(Self { replica, leader, liveness, domains, counters, logger })
     }
 
+    /// Submits a command to the local replica or, if it is not the leader, to the leader. Waits
+    /// until the command is applied.
     async fn submit(&self, command: Command) -> Result<CommandAnswer, ControlError> {
         let deadline = Instant::now() + DECISION_TIMEOUT;
         // The local replica answers immediately if it is not the leader.
@@ -101,7 +103,7 @@
     }
 
     /// Refuses announcements with invalid values, of unknown failure domains, or of a registered
-    /// server with an undeclared service, before they reach the log.
+    /// server with an undeclared service, before they are submitted.
     fn check_announcement(&self, announcement: &Announcement) -> Result<(), ControlError> {
         let invalid = ControlError::InvalidAnnouncement;
         announcement.verify().map_err(|error| invalid(error.to_string()))?;
@@ -137,6 +139,9 @@
         }
         self.liveness.record(&announcement);
         let view = self.replica.view();
+        // Announcements that would change nothing are not submitted: within an incarnation, a
+        // change of `slots` alone has no effect, and a leaving server keeps that state until it
+        // restarts.
         let is_registered = view.server(&announcement.server).is_some_and(|server| {
             server.incarnation == announcement.incarnation
                 && server.service == announcement.service
@@ -201,6 +206,7 @@
             Err(error) => Err(error),
         };
         self.counters.count(if result.is_ok() { "routing-taken" } else { "routing-not-taken" });
+        // 0 on every failure, even if some version is in force.
         let in_force = result.as_ref().map_or(0, |version| version.0);
         let outcome = outcome_text(&result);
         info!(self.logger, "routing"; "version" => version.0, "routes" => routes,
@@ -214,7 +220,8 @@
         let view = view
             .ok_or_else(|| ControlError::Unavailable("no leader confirmed the read".to_owned()))?;
         let version = view.routing().ok_or(ControlError::NoRouting)?.version;
-        // The confirmed view does not contain the text, which this replica may not have yet.
+        // The view contains the version in force, but not the document's text. The text comes from
+        // the local replica, which may not have applied that version yet.
         let deadline = Instant::now() + APPLY_TIMEOUT;
         loop {
             if let Some(source) = self.replica.routing_source(version) {
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -1,4 +1,4 @@
-//! Membership of the set of replicas over real connections and disks: bootstrap from seeds, a later
+//! Changes of the set of replicas over real connections and disks: bootstrap from seeds, a later
 //! join, and replacement of a replica that lost its disk.
 
 use consensus::{CoreSettings, MemberRole, ReplicaId};
@@ -40,7 +40,12 @@
 }
 
 impl TestReplica {
-    fn start(listener: TcpListener, seeds: &[SocketAddr], folder: &Path, is_first: bool) -> Self {
+    fn start(
+        listener: TcpListener,
+        seeds: &[SocketAddr],
+        folder: &Path,
+        is_first_start: bool,
+    ) -> Self {
         let address = listener.local_addr().expect("bound");
         let host: HostName = format!("core-{}", address.port()).parse().expect("name");
         let timeline = EventTimeline::new(host.as_str());
@@ -50,7 +55,8 @@
         let target = |address: &SocketAddr| PeerTarget { host: host.clone(), address: *address };
         let targets = seeds.iter().map(target).collect();
         let leader = Arc::new(LeaderClient::new(link.clone(), targets));
-        let identity = if is_first { seed_identity(address) } else { ReplicaId(rand::random()) };
+        let identity =
+            if is_first_start { seed_identity(address) } else { ReplicaId(rand::random()) };
         let (store, restored) = FileStore::open(folder, identity).expect("a usable folder");
         let logger = root_logger(LogFormat::Json, host.as_str());
         let timer = TimerService::start();
@@ -70,14 +76,14 @@
         let handle = start_replica(settings, Box::new(store), restored).expect("started");
         let server =
             tokio::spawn(node.serve(listener, Arc::new(ReplicaPeerHandler(handle.clone()))));
-        let group = MembershipSettings {
+        let membership_settings = MembershipSettings {
             host,
             address,
             seeds: seeds.to_vec(),
-            is_first_start: is_first,
+            is_first_start,
             min_voters: 3,
         };
-        let manager = MembershipManager::new(group, handle.clone(), leader, logger);
+        let manager = MembershipManager::new(membership_settings, handle.clone(), leader, logger);
         let manager = tokio::spawn(manager.run(timer));
         Self { handle, server, manager }
     }
@@ -111,9 +117,11 @@
     TcpListener::bind("127.0.0.1:0").await.expect("a free port")
 }
 
-/// The replacement of the lost disk fails if the previous identity of the replica remains a member.
+/// Guards against a lost disk that permanently costs the set of replicas a voter. The replica
+/// restarts with a new identity at the same address: this one must become a voter, and the previous
+/// one must be removed.
 #[tokio::test]
-async fn seeds_bootstrap_a_set_that_a_replica_joins_and_that_replaces_a_lost_disk() {
+async fn replica_joins_the_bootstrapped_set_and_a_seed_that_lost_its_disk_is_replaced() {
     let folders = tempfile::tempdir().expect("a folder");
     let mut listeners = Vec::new();
     for _ in 0..4 {
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Selection of the member to replace next, and of the entries that a caller should use.
+//! Selection of the lost member to remove next, and of the entries that a caller should use.
 
 use consensus::{Member, MemberRole, MembershipChange, ReplicaId};
 use hawthornhill_control::{MemberHealth, directory_entries, plan_member_change};
@@ -23,7 +23,8 @@
     Some(MembershipChange::Remove(ReplicaId(id)))
 }
 
-/// A voter must not be removed during a restart, nor if too few active voters would remain.
+/// Guards against the removal of a voter that only restarts, and against a removal after which too
+/// few active voters remain.
 #[test]
 fn voter_is_removed_only_after_the_loss_timeout_and_while_enough_others_are_active() {
     assert_eq!(plan_member_change(&voters(&[0, 0, 0, 0, 0]), 3), None);
@@ -61,7 +62,8 @@
     assert_eq!(plan_member_change(&members, 3), remove(9));
 }
 
-/// A caller that knows a single entry would have no alternative when that entry fails.
+/// Guards against an answer with a single entry, which leaves the caller no alternative when that
+/// entry fails.
 #[test]
 fn directory_returns_only_the_callers_domain_if_it_has_two_serving_entries() {
     let mut state = ClusterState::default();
--- a/crates/policy/src/first_routes.rs
+++ b/crates/policy/src/first_routes.rs
@@ -18,7 +18,8 @@
 
 impl Default for StartupWait {
     fn default() -> Self {
-        // When all processes restart, the slowest of 132 entries has routes after half of this time.
+        // After a restart of all processes, the slowest of 132 entries has routes in half this
+        // time.
         let expected_within = Duration::from_secs(1);
         // This wait plus the usual service time is within most target latencies.
         let max_wait = Duration::from_millis(600);
