--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -1,6 +1,6 @@
 //! Bootstraps the set of replicas from seeds, joins it, and removes lost members.
 
-use crate::membership::{MemberHealth, plan_member_change};
+use crate::membership::{MemberHealth, plan_member_removal};
 use consensus::{Member, MemberRole, MembershipChange, ReplicaId};
 use follow::{LeaderClient, SubmitResult};
 use replica::{ReplicaHandle, ReplicaStatus};
@@ -151,7 +151,7 @@
             let inactive_for = now.saturating_duration_since(*last_active);
             members.push(MemberHealth { status: member.clone(), inactive_for });
         }
-        if let Some(change) = plan_member_change(&members, self.settings.min_voters) {
+        if let Some(change) = plan_member_removal(&members, self.settings.min_voters) {
             info!(self.logger, "replacing a lost member"; "change" => format!("{change:?}"),
                 "members" => members.len());
             self.change_membership(change).await;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -14,5 +14,5 @@
 pub use directory::{DIRECTORY_MAX_AGE, EntryDirectory, directory_entries};
 pub use error::ControlError;
 pub use group::{MembershipManager, MembershipSettings, seed_identity};
-pub use membership::{MemberHealth, plan_member_change};
+pub use membership::{MemberHealth, plan_member_removal};
 pub use plane::{ControlPlane, ReplicaControl};
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -29,7 +29,10 @@
 ///
 /// A voter is removed only if more than half of the remaining voters, and at least `min_voters` of
 /// them, were active within the last 2 s.
-pub fn plan_member_change(members: &[MemberHealth], min_voters: usize) -> Option<MembershipChange> {
+pub fn plan_member_removal(
+    members: &[MemberHealth],
+    min_voters: usize,
+) -> Option<MembershipChange> {
     let lost = members.iter().find(|member| is_lost(member, members))?;
     let id = lost.status.member.id;
     if lost.status.member.role == MemberRole::Learner {
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Selection of the lost member to remove next, and of the entries that a caller should use.
 
 use consensus::{Member, MemberRole, MembershipChange, ReplicaId};
-use hawthornhill_control::{MemberHealth, directory_entries, plan_member_change};
+use hawthornhill_control::{MemberHealth, directory_entries, plan_member_removal};
 use replica::MemberStatus;
 use std::{net::SocketAddr, time::Duration};
 use types::{ClusterState, Command, EntryIncarnation, EntryInfo, LogTime};
@@ -27,15 +27,15 @@
 /// few active voters remain.
 #[test]
 fn voter_is_removed_only_after_the_loss_timeout_and_while_enough_others_are_active() {
-    assert_eq!(plan_member_change(&voters(&[0, 0, 0, 0, 0]), 3), None);
-    assert_eq!(plan_member_change(&voters(&[0, 0, 0, 0, 5]), 3), None);
-    assert_eq!(plan_member_change(&voters(&[0, 0, 0, 0, 9]), 3), remove(4));
+    assert_eq!(plan_member_removal(&voters(&[0, 0, 0, 0, 0]), 3), None);
+    assert_eq!(plan_member_removal(&voters(&[0, 0, 0, 0, 5]), 3), None);
+    assert_eq!(plan_member_removal(&voters(&[0, 0, 0, 0, 9]), 3), remove(4));
     // Two voters are lost. The first may be removed, since three of the four others are active.
-    assert_eq!(plan_member_change(&voters(&[0, 0, 0, 9, 9]), 3), remove(3));
+    assert_eq!(plan_member_removal(&voters(&[0, 0, 0, 9, 9]), 3), remove(3));
     // Three voters must remain, since fewer would not tolerate the loss of one.
-    assert_eq!(plan_member_change(&voters(&[0, 0, 9]), 3), None);
-    assert_eq!(plan_member_change(&voters(&[0, 0, 0, 9, 9]), 5), None);
-    assert_eq!(plan_member_change(&voters(&[0, 9, 9, 9, 9]), 1), None);
+    assert_eq!(plan_member_removal(&voters(&[0, 0, 9]), 3), None);
+    assert_eq!(plan_member_removal(&voters(&[0, 0, 0, 9, 9]), 5), None);
+    assert_eq!(plan_member_removal(&voters(&[0, 9, 9, 9, 9]), 1), None);
 }
 
 /// A replica that restarts without its disk has a new identity; the previous one never returns.
@@ -43,23 +43,23 @@
 fn voter_whose_disk_was_lost_is_replaced_by_the_learner_at_its_address() {
     let mut members = voters(&[0, 0, 0, 0, 2]);
     members.push(member(9, 5, MemberRole::Learner, 0));
-    assert_eq!(plan_member_change(&members, 3), remove(4));
+    assert_eq!(plan_member_removal(&members, 3), remove(4));
     // If three voters must remain, the learner is promoted before the lost voter is removed.
     let mut three = voters(&[0, 0, 2]);
     three.push(member(9, 3, MemberRole::Learner, 0));
-    assert_eq!(plan_member_change(&three, 3), None);
+    assert_eq!(plan_member_removal(&three, 3), None);
     three[3] = member(9, 3, MemberRole::Voter, 0);
-    assert_eq!(plan_member_change(&three, 3), remove(2));
+    assert_eq!(plan_member_removal(&three, 3), remove(2));
     // A learner at another address does not replace a voter.
     members[5] = member(9, 77, MemberRole::Learner, 0);
-    assert_eq!(plan_member_change(&members, 3), None);
+    assert_eq!(plan_member_removal(&members, 3), None);
 }
 
 #[test]
 fn learner_inactive_beyond_its_timeout_is_removed() {
     let mut members = voters(&[0, 0, 0]);
     members.push(member(9, 77, MemberRole::Learner, 21));
-    assert_eq!(plan_member_change(&members, 3), remove(9));
+    assert_eq!(plan_member_removal(&members, 3), remove(9));
 }
 
 /// Guards against an answer with a single entry, which leaves the caller no alternative when that
