--- a/crates/policy/src/cold_start.rs
+++ b/crates/policy/src/cold_start.rs
@@ -7,14 +7,14 @@
 ///
 /// Invariant: the limit stays between 1 and the server's slots.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ColdRamp {
+pub struct WarmUpRamp {
     limit: u32,
     start: u32,
     slots: u32,
     successes: u32,
 }
 
-impl ColdRamp {
+impl WarmUpRamp {
     /// Returns a ramp that starts at `cold_concurrency` requests and ends at the server's slots.
     pub fn new(cold_concurrency: u16, slots: u16) -> Self {
         let slots = u32::from(slots).max(1);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -27,7 +27,7 @@
 pub use admission::{AdmissionGate, AdmissionSettings, retry_after};
 pub use caller_timeouts::CallerTimeouts;
 pub use cold_share::{ColdAllowance, WARM_UP_ENTRIES, is_warm_up_entry, rendezvous_weight};
-pub use cold_start::ColdRamp;
+pub use cold_start::WarmUpRamp;
 pub use directory::{DirectoryServer, HEARTBEAT_TIMEOUT, ServerDirectory};
 pub use entry_ranking::rank_entries;
 pub use first_routes::StartupWait;
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -1,8 +1,8 @@
 //! One entry's state of the servers of one service, and the choice of a server for a request.
 
 use crate::{
-    AttemptOutcome, CandidateLoad, ColdRamp, LatencyTracker, MedianTest, ServerHealth,
-    ServerSelector,
+    AttemptOutcome, CandidateLoad, LatencyTracker, MedianTest, ServerHealth, ServerSelector,
+    WarmUpRamp,
 };
 use rand::RngCore;
 use smallvec::SmallVec;
@@ -56,7 +56,7 @@
     health: ServerHealth,
     slowness: MedianTest,
     /// Warm-up ramp, if the server is cold and this entry may warm it.
-    ramp: Option<ColdRamp>,
+    ramp: Option<WarmUpRamp>,
     /// End of the suspicion of this incarnation, unless the shard owner sends a changed record
     /// first.
     suspected_until: Option<Instant>,
@@ -358,7 +358,7 @@
         server.ramp = match (view.record.stage, server.ramp.take()) {
             (ServerStage::Cold, Some(ramp)) if view.may_warm => Some(ramp),
             (ServerStage::Cold, _) if view.may_warm => {
-                Some(ColdRamp::new(self.cold_concurrency, slots))
+                Some(WarmUpRamp::new(self.cold_concurrency, slots))
             }
             _ => None,
         };
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -1,6 +1,6 @@
 //! Limits over time: retry and probe budgets, the warm-up ramp and the freshness gate.
 
-use hawthornhill_policy::{ColdRamp, FreshnessGate, ProbeBudget, RetryBudget};
+use hawthornhill_policy::{FreshnessGate, ProbeBudget, RetryBudget, WarmUpRamp};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
@@ -48,7 +48,7 @@
 
 #[test]
 fn ramp_reaches_all_slots_and_starts_over_after_a_failure() {
-    let mut ramp = ColdRamp::new(1, 3);
+    let mut ramp = WarmUpRamp::new(1, 3);
     let mut successes = 0;
     while !ramp.record_success() {
         successes += 1;
@@ -58,7 +58,7 @@
     assert!(successes <= 24);
     ramp.record_failure();
     assert_eq!(ramp.limit(), 1);
-    let mut large = ColdRamp::new(1, 256);
+    let mut large = WarmUpRamp::new(1, 256);
     let successes = (0..1_000).take_while(|_| !large.record_success()).count();
     assert!(successes < 150, "{successes} successes to reach 256 slots");
 }
