--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -117,7 +117,7 @@
             return;
         }
         let now = Instant::now();
-        let request = self.directory.lock().observe_beat(heartbeat, now);
+        let request = self.directory.lock().observe_heartbeat(heartbeat, now);
         match request {
             None => self.clock(&heartbeat.owner.entry).confirm(now),
             Some(request) => self.start_pull(heartbeat.owner.clone(), request),
@@ -211,7 +211,7 @@
         let changed = {
             let mut directory = self.directory.lock();
             let mut changed = BTreeSet::new();
-            while let Some(request) = directory.observe_beat(&self.shards.heartbeat(), now) {
+            while let Some(request) = directory.observe_heartbeat(&self.shards.heartbeat(), now) {
                 let delta = self.shards.delta(&request);
                 changed.extend(directory.apply(&delta, now));
             }
--- a/crates/policy/src/directory.rs
+++ b/crates/policy/src/directory.rs
@@ -49,13 +49,17 @@
 impl ServerDirectory {
     /// Applies a heartbeat of an owner. Returns the request for the changes that this entry lacks,
     /// if any.
-    pub fn observe_beat(&mut self, beat: &OwnerHeartbeat, now: Instant) -> Option<RegistryRequest> {
+    pub fn observe_heartbeat(
+        &mut self,
+        heartbeat: &OwnerHeartbeat,
+        now: Instant,
+    ) -> Option<RegistryRequest> {
         let copy = self
             .copies
-            .get_mut(&beat.owner.entry)
-            .filter(|copy| copy.incarnation == beat.owner.incarnation);
+            .get_mut(&heartbeat.owner.entry)
+            .filter(|copy| copy.incarnation == heartbeat.owner.incarnation);
         match copy {
-            Some(copy) if copy.version >= beat.version => {
+            Some(copy) if copy.version >= heartbeat.version => {
                 copy.confirmed = now;
                 None
             }
@@ -64,7 +68,7 @@
                 Some(RegistryRequest { incarnation, since })
             }
             None => {
-                let incarnation = beat.owner.incarnation;
+                let incarnation = heartbeat.owner.incarnation;
                 Some(RegistryRequest { incarnation, since: RegistryVersion(0) })
             }
         }
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -127,9 +127,9 @@
 }
 
 fn pull(directory: &mut ServerDirectory, registry: &ServerRegistry, now: Instant) {
-    let beat =
+    let heartbeat =
         types::OwnerHeartbeat { owner: registry.owner().clone(), version: registry.version() };
-    while let Some(request) = directory.observe_beat(&beat, now) {
+    while let Some(request) = directory.observe_heartbeat(&heartbeat, now) {
         directory.apply(&registry.delta(&request), now);
     }
 }
@@ -206,8 +206,8 @@
                 3 => { registry.mark_warm(&name(&server), ServerIncarnation(1)); }
                 4 => { registry.expire(now); }
                 _ => {
-                    let beat = types::OwnerHeartbeat { owner: registry.owner().clone(), version: registry.version() };
-                    if let Some(request) = directory.observe_beat(&beat, now) && !is_lost {
+                    let heartbeat = types::OwnerHeartbeat { owner: registry.owner().clone(), version: registry.version() };
+                    if let Some(request) = directory.observe_heartbeat(&heartbeat, now) && !is_lost {
                         directory.apply(&registry.delta(&request), now);
                     }
                 }
