--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -8,7 +8,7 @@
 use follow::LeaderClient;
 use operator::serve_operators;
 use peer::{PeerLink, PeerTarget, QuicNode, TlsMaterial};
-use policy::{AdmissionSettings, LatencySelector, LoadSettings};
+use policy::{AdmissionSettings, BalancerSettings, LatencySelector};
 use rand::random;
 use replica::{FileStore, LEADER_WAIT, ReplicaSettings, start_replica};
 use runtime::{
@@ -150,7 +150,7 @@
                 max_in_flight: self.settings.max_in_flight,
                 ..AdmissionSettings::default()
             },
-            load: LoadSettings {
+            load: BalancerSettings {
                 cold_concurrency: DEFAULT_COLD_CONCURRENCY,
                 max_ejected_percent: MAX_EJECTED_PERCENT,
                 selector: Arc::new(LatencySelector),
--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -11,7 +11,7 @@
 use parking_lot::{Mutex, RwLock};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
 use policy::{
-    AnnounceOutcome, DirectoryServer, HEARTBEAT_TIMEOUT, LoadSettings, PickedServer,
+    AnnounceOutcome, BalancerSettings, DirectoryServer, HEARTBEAT_TIMEOUT, PickedServer,
     ServerDirectory, ServerView,
 };
 use runtime::EventKind;
@@ -60,7 +60,7 @@
     pub(crate) fn new(
         context: Arc<EntryContext>,
         link: Arc<dyn PeerLink>,
-        settings: LoadSettings,
+        settings: BalancerSettings,
     ) -> Arc<Self> {
         Arc::new_cyclic(|weak_self: &Weak<Self>| {
             let observer: Weak<dyn ServerObserver> = weak_self.clone();
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -7,7 +7,7 @@
 use caller::{CallerListener, ListenError, ListenerSettings};
 use follow::{LeaderClient, RefresherContext, ViewRefresher};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
-use policy::{AdmissionGate, AdmissionSettings, LoadSettings, ServerView};
+use policy::{AdmissionGate, AdmissionSettings, BalancerSettings, ServerView};
 use runtime::{EventKind, EventTags};
 use server::{ServerTransport, serve_announcements};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -26,7 +26,7 @@
     /// Limits for the admission of requests.
     pub admission: AdmissionSettings,
     /// Settings for the selection of servers.
-    pub load: LoadSettings,
+    pub load: BalancerSettings,
     /// Limits for the connections and requests of callers.
     pub intake: ListenerSettings,
     /// How long callers may cache the directory's answer.
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -4,7 +4,7 @@
 use crate::EntryContext;
 use parking_lot::Mutex;
 use policy::{
-    AttemptOutcome, LatencyTracker, LoadSettings, PickResult, PickedServer, ReleaseOutcome,
+    AttemptOutcome, BalancerSettings, LatencyTracker, PickResult, PickedServer, ReleaseOutcome,
     RetryBudget, ServerReport, ServerView, ServiceLoad, expected_wait,
 };
 use runtime::EventKind;
@@ -128,7 +128,7 @@
     fn new(
         context: Arc<EntryContext>,
         observer: Weak<dyn ServerObserver>,
-        settings: LoadSettings,
+        settings: BalancerSettings,
     ) -> Self {
         let state = PoolState {
             load: ServiceLoad::new(settings),
@@ -404,7 +404,7 @@
 pub(crate) struct PoolTable {
     context: Arc<EntryContext>,
     observer: Weak<dyn ServerObserver>,
-    settings: LoadSettings,
+    settings: BalancerSettings,
     shards: [Mutex<HashMap<ServiceName, Arc<ServicePool>>>; SHARD_COUNT],
     /// Requests in flight over all pools.
     pub(crate) in_flight: Arc<AtomicUsize>,
@@ -414,7 +414,7 @@
     pub(crate) fn new(
         context: Arc<EntryContext>,
         observer: Weak<dyn ServerObserver>,
-        settings: LoadSettings,
+        settings: BalancerSettings,
     ) -> Self {
         let shards = Default::default();
         Self { context, observer, settings, shards, in_flight: Arc::default() }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -43,8 +43,8 @@
 pub use retry_delay::{CapacityForecast, retry_delay};
 pub use selection::{CandidateLoad, LatencySelector, ServerSelector};
 pub use service_load::{
-    LoadSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView, ServiceLoad,
-    expected_wait,
+    BalancerSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView,
+    ServiceLoad, expected_wait,
 };
 pub use service_time::ServiceTime;
 pub use shared_budget::{BudgetLimits, SharedBudget};
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -22,7 +22,7 @@
 
 /// Settings for the choice among the servers of a service.
 #[derive(Clone)]
-pub struct LoadSettings {
+pub struct BalancerSettings {
     /// Initial limit on concurrent requests at a cold server.
     pub cold_concurrency: u16,
     /// Maximum share of a service's servers that are ejected for bad health, in percent.
@@ -105,13 +105,13 @@
 /// Invariant: a cold server gets a request only if this entry is its shard owner and has fewer
 /// requests in flight there than the warm-up ramp allows.
 pub struct ServiceLoad {
-    settings: LoadSettings,
+    settings: BalancerSettings,
     servers: Vec<TrackedServer>,
 }
 
 impl ServiceLoad {
     /// Returns an empty set of servers.
-    pub fn new(settings: LoadSettings) -> Self {
+    pub fn new(settings: BalancerSettings) -> Self {
         Self { settings, servers: Vec::new() }
     }
 
@@ -331,7 +331,7 @@
     pub is_leaving: bool,
 }
 
-impl LoadSettings {
+impl BalancerSettings {
     /// Returns the state of a server after an update, given its previous state.
     fn updated(&self, known: Option<TrackedServer>, view: ServerView) -> TrackedServer {
         let incarnation = |view: &ServerView| view.record.announcement.incarnation;
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -1,7 +1,7 @@
 //! Registries, directories and the choice of servers under faults of owners and servers.
 
 use hawthornhill_policy::{
-    AnnounceOutcome, AttemptOutcome, CandidateLoad, LatencySelector, LoadSettings, PickResult,
+    AnnounceOutcome, AttemptOutcome, BalancerSettings, CandidateLoad, LatencySelector, PickResult,
     PickedServer, ServerDirectory, ServerRegistry, ServerReport, ServerSelector, ServerView,
     ServiceLoad, rank_entries,
 };
@@ -242,8 +242,8 @@
     assert!(delta.changes.iter().any(is_leaving));
 }
 
-fn load_settings() -> LoadSettings {
-    LoadSettings {
+fn balancer_settings() -> BalancerSettings {
+    BalancerSettings {
         cold_concurrency: 1,
         max_ejected_percent: 50,
         selector: Arc::new(LatencySelector),
@@ -276,11 +276,11 @@
         ("drained", drained),
     ];
     for (case, server) in cases {
-        let mut load = ServiceLoad::new(load_settings());
+        let mut load = ServiceLoad::new(balancer_settings());
         load.update(vec![server]);
         assert_eq!(pick(&mut load, now), None, "{case}");
     }
-    let mut load = ServiceLoad::new(load_settings());
+    let mut load = ServiceLoad::new(balancer_settings());
     load.update(vec![view("x", ServerStage::Warm, false)]);
     let result = load.pick(&[], false, |_| false, now, &mut SmallRng::seed_from_u64(1));
     assert!(matches!(result, PickResult::NoneEligible { .. }), "no heartbeats from its owner");
@@ -289,7 +289,7 @@
 #[test]
 fn fail_fast_server_does_not_attract_load() {
     let start = Instant::now();
-    let mut load = ServiceLoad::new(load_settings());
+    let mut load = ServiceLoad::new(balancer_settings());
     load.update(["bad", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut at_bad = 0;
@@ -313,7 +313,7 @@
 #[test]
 fn recovered_server_gets_requests_again() {
     let start = Instant::now();
-    let mut load = ServiceLoad::new(load_settings());
+    let mut load = ServiceLoad::new(balancer_settings());
     load.update(["slow", "x", "y"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut late_picks = 0;
@@ -344,7 +344,7 @@
 /// at the 1,000th request. Servers are picked at random, so that only ejection keeps requests away.
 fn picks_of_slow_server(factor: f64, healthy: &[&str]) -> u32 {
     let start = Instant::now();
-    let settings = LoadSettings { selector: Arc::new(RandomSelector), ..load_settings() };
+    let settings = BalancerSettings { selector: Arc::new(RandomSelector), ..balancer_settings() };
     let mut load = ServiceLoad::new(settings);
     let names = healthy.iter().copied().chain(["slow"]);
     load.update(names.map(|name| view(name, ServerStage::Warm, false)).collect());
@@ -377,7 +377,7 @@
 #[test]
 fn servers_are_not_all_ejected_for_bad_health() {
     let now = Instant::now();
-    let mut load = ServiceLoad::new(load_settings());
+    let mut load = ServiceLoad::new(balancer_settings());
     load.update(["w", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
     for _ in 0..200 {
         if let Some(server) = pick(&mut load, now) {
@@ -391,7 +391,7 @@
 fn server_reporting_a_restart_or_leaving_gets_no_more_requests() {
     let now = Instant::now();
     let check_suspicion = |report: ServerReport, expected| {
-        let mut servers = ServiceLoad::new(load_settings());
+        let mut servers = ServiceLoad::new(balancer_settings());
         servers.update(vec![view("x", ServerStage::Warm, false)]);
         let picked = pick(&mut servers, now).expect("warm");
         let success = AttemptOutcome::Success(Duration::from_millis(1));
@@ -414,7 +414,7 @@
     #[test]
     fn cold_server_is_not_overloaded(actions in proptest::collection::vec(0..5_u8, 1..400)) {
         let now = Instant::now();
-        let mut load = ServiceLoad::new(load_settings());
+        let mut load = ServiceLoad::new(balancer_settings());
         load.update(vec![view("x", ServerStage::Cold, true)]);
         let mut in_flight: Vec<PickedServer> = Vec::new();
         let mut successes = 0_u32;
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
 use policy::{
-    AttemptOutcome, LatencySelector, LoadSettings, PickResult, ServerReport, ServerSelector,
+    AttemptOutcome, BalancerSettings, LatencySelector, PickResult, ServerReport, ServerSelector,
     ServerView, ServiceLoad,
 };
 use rand::{SeedableRng, rngs::SmallRng};
@@ -64,7 +64,7 @@
 
 impl EntryPool {
     fn new(selector: Arc<dyn ServerSelector>, servers: &[FakeServer], seed: u64) -> Self {
-        let mut load = ServiceLoad::new(LoadSettings {
+        let mut load = ServiceLoad::new(BalancerSettings {
             cold_concurrency: 1,
             max_ejected_percent: 50,
             selector,
