--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use policy::{
     AttemptOutcome, BalancerSettings, LatencyTracker, PickResult, PickedServer, ReleaseOutcome,
-    RetryBudget, ServerReport, ServerView, ServiceLoad, expected_wait,
+    RetryBudget, ServerReport, ServerView, ServiceBalancer, expected_wait,
 };
 use runtime::EventKind;
 use smallvec::SmallVec;
@@ -65,7 +65,7 @@
 }
 
 struct PoolState {
-    load: ServiceLoad,
+    load: ServiceBalancer,
     waiting: VecDeque<WaitingRequest>,
     retries: RetryBudget,
     hedges: RetryBudget,
@@ -131,7 +131,7 @@
         settings: BalancerSettings,
     ) -> Self {
         let state = PoolState {
-            load: ServiceLoad::new(settings),
+            load: ServiceBalancer::new(settings),
             waiting: VecDeque::new(),
             retries: RetryBudget::new(0),
             hedges: RetryBudget::new(0),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -44,7 +44,7 @@
 pub use selection::{CandidateLoad, LatencySelector, ServerSelector};
 pub use service_load::{
     BalancerSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView,
-    ServiceLoad, expected_wait,
+    ServiceBalancer, expected_wait,
 };
 pub use service_time::ServiceTime;
 pub use shared_budget::{BudgetLimits, SharedBudget};
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -104,12 +104,12 @@
 ///
 /// Invariant: a cold server gets a request only if this entry is its shard owner and has fewer
 /// requests in flight there than the warm-up ramp allows.
-pub struct ServiceLoad {
+pub struct ServiceBalancer {
     settings: BalancerSettings,
     servers: Vec<TrackedServer>,
 }
 
-impl ServiceLoad {
+impl ServiceBalancer {
     /// Returns an empty set of servers.
     pub fn new(settings: BalancerSettings) -> Self {
         Self { settings, servers: Vec::new() }
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -3,7 +3,7 @@
 use hawthornhill_policy::{
     AnnounceOutcome, AttemptOutcome, BalancerSettings, CandidateLoad, LatencySelector, PickResult,
     PickedServer, ServerDirectory, ServerRegistry, ServerReport, ServerSelector, ServerView,
-    ServiceLoad, rank_entries,
+    ServiceBalancer, rank_entries,
 };
 use proptest::prelude::*;
 use rand::{RngCore, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
@@ -259,8 +259,8 @@
     ServerView { record, owner: name("e"), may_warm, is_drained: false }
 }
 
-fn pick(load: &mut ServiceLoad, now: Instant) -> Option<PickedServer> {
-    match load.pick(&[], false, |_| true, now, &mut SmallRng::seed_from_u64(1)) {
+fn pick(balancer: &mut ServiceBalancer, now: Instant) -> Option<PickedServer> {
+    match balancer.pick(&[], false, |_| true, now, &mut SmallRng::seed_from_u64(1)) {
         PickResult::Picked(server) => Some(server),
         PickResult::Busy | PickResult::NoneEligible { .. } => None,
     }
@@ -276,26 +276,26 @@
         ("drained", drained),
     ];
     for (case, server) in cases {
-        let mut load = ServiceLoad::new(balancer_settings());
-        load.update(vec![server]);
-        assert_eq!(pick(&mut load, now), None, "{case}");
+        let mut balancer = ServiceBalancer::new(balancer_settings());
+        balancer.update(vec![server]);
+        assert_eq!(pick(&mut balancer, now), None, "{case}");
     }
-    let mut load = ServiceLoad::new(balancer_settings());
-    load.update(vec![view("x", ServerStage::Warm, false)]);
-    let result = load.pick(&[], false, |_| false, now, &mut SmallRng::seed_from_u64(1));
+    let mut balancer = ServiceBalancer::new(balancer_settings());
+    balancer.update(vec![view("x", ServerStage::Warm, false)]);
+    let result = balancer.pick(&[], false, |_| false, now, &mut SmallRng::seed_from_u64(1));
     assert!(matches!(result, PickResult::NoneEligible { .. }), "no heartbeats from its owner");
 }
 
 #[test]
 fn fail_fast_server_does_not_attract_load() {
     let start = Instant::now();
-    let mut load = ServiceLoad::new(balancer_settings());
-    load.update(["bad", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
+    let mut balancer = ServiceBalancer::new(balancer_settings());
+    balancer.update(["bad", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut at_bad = 0;
     for number in 0..2_000_u64 {
         let now = start + Duration::from_millis(number);
-        let PickResult::Picked(server) = load.pick(&[], false, |_| true, now, &mut rng) else {
+        let PickResult::Picked(server) = balancer.pick(&[], false, |_| true, now, &mut rng) else {
             panic!("no server");
         };
         let is_bad = server.name.as_str() == "bad";
@@ -305,7 +305,7 @@
         } else {
             AttemptOutcome::Success(Duration::from_millis(1))
         };
-        load.release(&server, outcome, &ServerReport::default(), now);
+        balancer.release(&server, outcome, &ServerReport::default(), now);
     }
     assert!(at_bad < 40, "{at_bad} of 2000 requests went to the server that fails fast");
 }
@@ -313,19 +313,19 @@
 #[test]
 fn recovered_server_gets_requests_again() {
     let start = Instant::now();
-    let mut load = ServiceLoad::new(balancer_settings());
-    load.update(["slow", "x", "y"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
+    let mut balancer = ServiceBalancer::new(balancer_settings());
+    balancer.update(["slow", "x", "y"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut late_picks = 0;
     for number in 0..5_000_u64 {
         let now = start + Duration::from_millis(number);
-        let PickResult::Picked(server) = load.pick(&[], false, |_| true, now, &mut rng) else {
+        let PickResult::Picked(server) = balancer.pick(&[], false, |_| true, now, &mut rng) else {
             panic!("no server");
         };
         let is_slow = server.name.as_str() == "slow";
         late_picks += u32::from(is_slow && number > 2_000);
         let latency = Duration::from_millis(if is_slow && number < 1_000 { 50 } else { 2 });
-        load.release(&server, AttemptOutcome::Success(latency), &ServerReport::default(), now);
+        balancer.release(&server, AttemptOutcome::Success(latency), &ServerReport::default(), now);
     }
     assert!(late_picks > 100, "{late_picks} of 3000");
 }
@@ -345,21 +345,21 @@
 fn picks_of_slow_server(factor: f64, healthy: &[&str]) -> u32 {
     let start = Instant::now();
     let settings = BalancerSettings { selector: Arc::new(RandomSelector), ..balancer_settings() };
-    let mut load = ServiceLoad::new(settings);
+    let mut balancer = ServiceBalancer::new(settings);
     let names = healthy.iter().copied().chain(["slow"]);
-    load.update(names.map(|name| view(name, ServerStage::Warm, false)).collect());
+    balancer.update(names.map(|name| view(name, ServerStage::Warm, false)).collect());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut picks = 0;
     for number in 0..5_000_u64 {
         let now = start + Duration::from_millis(number);
-        let PickResult::Picked(server) = load.pick(&[], false, |_| true, now, &mut rng) else {
+        let PickResult::Picked(server) = balancer.pick(&[], false, |_| true, now, &mut rng) else {
             panic!("no server");
         };
         let is_slow = server.name.as_str() == "slow" && number >= 1_000;
         picks += u32::from(is_slow);
         let noise = 0.3 - rand::Rng::random_range(&mut rng, f64::EPSILON..1.0).ln();
         let latency = Duration::from_secs_f64(noise * if is_slow { factor } else { 1.0 } / 1e3);
-        load.release(&server, AttemptOutcome::Success(latency), &ServerReport::default(), now);
+        balancer.release(&server, AttemptOutcome::Success(latency), &ServerReport::default(), now);
     }
     picks
 }
@@ -377,27 +377,27 @@
 #[test]
 fn servers_are_not_all_ejected_for_bad_health() {
     let now = Instant::now();
-    let mut load = ServiceLoad::new(balancer_settings());
-    load.update(["w", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
+    let mut balancer = ServiceBalancer::new(balancer_settings());
+    balancer.update(["w", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
     for _ in 0..200 {
-        if let Some(server) = pick(&mut load, now) {
-            load.release(&server, AttemptOutcome::ServerError, &ServerReport::default(), now);
+        if let Some(server) = pick(&mut balancer, now) {
+            balancer.release(&server, AttemptOutcome::ServerError, &ServerReport::default(), now);
         }
     }
-    assert!(pick(&mut load, now).is_some(), "half of the servers stay in use");
+    assert!(pick(&mut balancer, now).is_some(), "half of the servers stay in use");
 }
 
 #[test]
 fn server_reporting_a_restart_or_leaving_gets_no_more_requests() {
     let now = Instant::now();
     let check_suspicion = |report: ServerReport, expected| {
-        let mut servers = ServiceLoad::new(balancer_settings());
-        servers.update(vec![view("x", ServerStage::Warm, false)]);
-        let picked = pick(&mut servers, now).expect("warm");
+        let mut balancer = ServiceBalancer::new(balancer_settings());
+        balancer.update(vec![view("x", ServerStage::Warm, false)]);
+        let picked = pick(&mut balancer, now).expect("warm");
         let success = AttemptOutcome::Success(Duration::from_millis(1));
-        let release = servers.release(&picked, success, &report, now);
+        let release = balancer.release(&picked, success, &report, now);
         assert_eq!(release.suspicion, Some(expected));
-        assert_eq!(pick(&mut servers, now), None);
+        assert_eq!(pick(&mut balancer, now), None);
     };
     let restarted = ServerReport { incarnation: Some(ServerIncarnation(2)), ..Default::default() };
     check_suspicion(restarted, SuspectKind::Restarted);
@@ -414,13 +414,13 @@
     #[test]
     fn cold_server_is_not_overloaded(actions in proptest::collection::vec(0..5_u8, 1..400)) {
         let now = Instant::now();
-        let mut load = ServiceLoad::new(balancer_settings());
-        load.update(vec![view("x", ServerStage::Cold, true)]);
+        let mut balancer = ServiceBalancer::new(balancer_settings());
+        balancer.update(vec![view("x", ServerStage::Cold, true)]);
         let mut in_flight: Vec<PickedServer> = Vec::new();
         let mut successes = 0_u32;
         for action in actions {
             match action {
-                0..=2 => if let Some(server) = pick(&mut load, now) {
+                0..=2 => if let Some(server) = pick(&mut balancer, now) {
                     in_flight.push(server);
                     let limit = (1 + successes / 8).min(3);
                     prop_assert!(in_flight.len() as u32 <= limit, "{} of {limit}", in_flight.len());
@@ -428,14 +428,14 @@
                 3 => if let Some(server) = in_flight.pop() {
                     successes += 1;
                     let success = AttemptOutcome::Success(Duration::from_millis(1));
-                    load.release(&server, success, &ServerReport::default(), now);
+                    balancer.release(&server, success, &ServerReport::default(), now);
                 },
                 _ => if let Some(server) = in_flight.pop() {
                     successes = 0;
-                    load.release(&server, AttemptOutcome::Shed, &ServerReport::default(), now);
+                    balancer.release(&server, AttemptOutcome::Shed, &ServerReport::default(), now);
                 },
             }
-            prop_assert_eq!(load.verify(), Ok(()));
+            prop_assert_eq!(balancer.verify(), Ok(()));
         }
     }
 }
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -1,5 +1,5 @@
-//! Compares server selectors in the selection code of real pools (`policy::ServiceLoad`), with fake
-//! servers over sockets, in several interleaved rounds.
+//! Compares server selectors in the selection code of real pools (`policy::ServiceBalancer`), with
+//! fake servers over sockets, in several interleaved rounds.
 //!
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_selection`
 
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 use policy::{
     AttemptOutcome, BalancerSettings, LatencySelector, PickResult, ServerReport, ServerSelector,
-    ServerView, ServiceLoad,
+    ServerView, ServiceBalancer,
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use std::{
@@ -59,12 +59,12 @@
 
 /// One entry's pool, with a queue of requests that wait for free capacity.
 struct EntryPool {
-    load: Mutex<(ServiceLoad, VecDeque<oneshot::Sender<()>>, SmallRng)>,
+    load: Mutex<(ServiceBalancer, VecDeque<oneshot::Sender<()>>, SmallRng)>,
 }
 
 impl EntryPool {
     fn new(selector: Arc<dyn ServerSelector>, servers: &[FakeServer], seed: u64) -> Self {
-        let mut load = ServiceLoad::new(BalancerSettings {
+        let mut load = ServiceBalancer::new(BalancerSettings {
             cold_concurrency: 1,
             max_ejected_percent: 50,
             selector,
