--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -6,7 +6,7 @@
 use follow::{LeaderClient, SubmitResult};
 use operator::{BackendError, EntryPage, OperatorBackend, ServerRow, StatusPage, ViewPage};
 use peer::QuicNode;
-use policy::ServerView;
+use policy::ServerStatus;
 use runtime::{EventRecord, EventTimeline, TimelineFilter};
 use std::{
     net::SocketAddr,
@@ -105,8 +105,8 @@
     }
 }
 
-fn server_row(view: ServerView) -> ServerRow {
-    let ServerView { record, owner, .. } = view;
+fn server_row(view: ServerStatus) -> ServerRow {
+    let ServerStatus { record, owner, .. } = view;
     let owner: EntryName = owner;
     ServerRow {
         server: record.announcement.server,
--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -12,7 +12,7 @@
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
 use policy::{
     AnnounceOutcome, BalancerSettings, DirectoryServer, HEARTBEAT_TIMEOUT, PickedServer,
-    ServerDirectory, ServerView,
+    ServerDirectory, ServerStatus,
 };
 use runtime::EventKind;
 use server::{AnnounceAnswer, AnnounceHandler, AnnounceRefusal};
@@ -177,7 +177,7 @@
     }
 
     /// Returns all servers that this entry knows, ordered by service and name.
-    pub(crate) fn server_views(&self) -> Vec<ServerView> {
+    pub(crate) fn server_views(&self) -> Vec<ServerStatus> {
         let view = self.context.view();
         let directory = self.directory.lock();
         let services: Vec<ServiceName> = directory.services().cloned().collect();
@@ -295,14 +295,14 @@
         server: DirectoryServer,
         view: &ClusterView,
         timeout: Duration,
-    ) -> ServerView {
+    ) -> ServerStatus {
         let DirectoryServer { record, owner } = server;
         let is_own = owner == self.context.name();
         let may_warm = is_own
             && record.stage == ServerStage::Cold
             && self.shards.may_warm(&record.announcement.server, timeout);
         let is_drained = view.is_drained(&record.announcement.domain);
-        ServerView { record, owner, may_warm, is_drained }
+        ServerStatus { record, owner, may_warm, is_drained }
     }
 
     /// Returns the clock of an owner's confirmations, which all pools share.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -7,7 +7,7 @@
 use caller::{CallerListener, ListenError, ListenerSettings};
 use follow::{LeaderClient, RefresherContext, ViewRefresher};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
-use policy::{AdmissionGate, AdmissionSettings, BalancerSettings, ServerView};
+use policy::{AdmissionGate, AdmissionSettings, BalancerSettings, ServerStatus};
 use runtime::{EventKind, EventTags};
 use server::{ServerTransport, serve_announcements};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -121,7 +121,7 @@
     }
 
     /// Returns all servers that this entry knows.
-    pub fn servers(&self) -> Vec<ServerView> {
+    pub fn servers(&self) -> Vec<ServerStatus> {
         self.catalog.server_views()
     }
 
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use policy::{
     AttemptOutcome, BalancerSettings, LatencyTracker, PickResult, PickedServer, ReleaseOutcome,
-    RetryBudget, ServerReport, ServerView, ServiceBalancer, expected_wait,
+    RetryBudget, ServerReport, ServerStatus, ServiceBalancer, expected_wait,
 };
 use runtime::EventKind;
 use smallvec::SmallVec;
@@ -191,7 +191,7 @@
     }
 
     /// Updates the servers from the directory and assigns free capacity to waiting requests.
-    pub(crate) fn update(self: &Arc<Self>, views: Vec<ServerView>, spec: Option<&ServiceSpec>) {
+    pub(crate) fn update(self: &Arc<Self>, views: Vec<ServerStatus>, spec: Option<&ServiceSpec>) {
         {
             let mut state = self.state.lock();
             if let Some(spec) = spec {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -43,7 +43,7 @@
 pub use retry_delay::{CapacityForecast, retry_delay};
 pub use selection::{CandidateLoad, LatencySelector, ServerSelector};
 pub use service_load::{
-    BalancerSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView,
+    BalancerSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerStatus,
     ServiceBalancer, expected_wait,
 };
 pub use service_time::ServiceTime;
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -31,9 +31,9 @@
     pub selector: Arc<dyn ServerSelector>,
 }
 
-/// A server as known from the directory.
+/// A server's record in the directory, and the restrictions on this entry's use of the server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServerView {
+pub struct ServerStatus {
     /// Announcement and stage.
     pub record: ServerRecord,
     /// Shard owner of the server.
@@ -46,7 +46,7 @@
 
 #[derive(Debug, Clone)]
 struct TrackedServer {
-    view: ServerView,
+    status: ServerStatus,
     in_flight: u32,
     latency: LatencyTracker,
     /// Time of the last latency sample.
@@ -122,17 +122,18 @@
 
     /// Replaces the servers by the directory's current ones. Latency, health and other state of a
     /// server is kept while its incarnation stays the same.
-    pub fn update(&mut self, views: Vec<ServerView>) {
+    pub fn update(&mut self, statuses: Vec<ServerStatus>) {
         let mut previous = std::mem::take(&mut self.servers);
-        for view in views {
-            let name = &view.record.announcement.server;
-            let position = previous.iter().position(|s| s.view.record.announcement.server == *name);
+        for status in statuses {
+            let name = &status.record.announcement.server;
+            let position =
+                previous.iter().position(|s| s.status.record.announcement.server == *name);
             let known = position.map(|position| previous.swap_remove(position));
-            self.servers.push(self.settings.updated(known, view));
+            self.servers.push(self.settings.updated(known, status));
         }
         // Removed servers stay until their requests in flight have ended, but get no new ones.
         for mut removed in previous.into_iter().filter(|server| server.in_flight > 0) {
-            removed.view.record.stage = ServerStage::Leaving;
+            removed.status.record.stage = ServerStage::Leaving;
             self.servers.push(removed);
         }
     }
@@ -155,8 +156,8 @@
             .servers
             .iter()
             .map(|server| {
-                let is_usable = is_confirmed(&server.view.owner)
-                    && !excluded.contains(&server.view.record.announcement.server);
+                let is_usable = is_confirmed(&server.status.owner)
+                    && !excluded.contains(&server.status.record.announcement.server);
                 server.candidate(is_usable, typical, now)
             })
             .collect();
@@ -181,10 +182,10 @@
     ) -> SmallVec<[EntryName; 2]> {
         let mut owners = SmallVec::new();
         for server in &self.servers {
-            let is_cold = server.view.record.stage == ServerStage::Cold
-                && !server.view.may_warm
-                && !server.view.is_drained;
-            let owner = &server.view.owner;
+            let is_cold = server.status.record.stage == ServerStage::Cold
+                && !server.status.may_warm
+                && !server.status.is_drained;
+            let owner = &server.status.owner;
             if is_cold && is_confirmed(owner) && !owners.contains(owner) {
                 owners.push(owner.clone());
             }
@@ -205,12 +206,12 @@
         let found = self
             .servers
             .iter_mut()
-            .find(|server| server.view.record.announcement.server == picked.name);
+            .find(|server| server.status.record.announcement.server == picked.name);
         let Some(server) = found else {
             return ReleaseOutcome::default();
         };
         server.in_flight = server.in_flight.saturating_sub(1);
-        if server.view.record.announcement.incarnation != picked.incarnation {
+        if server.status.record.announcement.incarnation != picked.incarnation {
             return ReleaseOutcome::default();
         }
         let mut release = server.record_end(outcome, report, now);
@@ -226,7 +227,9 @@
     /// Returns whether this entry may send requests to any server, now or once it is below its
     /// limit.
     pub fn has_eligible(&self, is_confirmed: impl Fn(&EntryName) -> bool, now: Instant) -> bool {
-        self.servers.iter().any(|server| server.limit(now) > 0 && is_confirmed(&server.view.owner))
+        self.servers
+            .iter()
+            .any(|server| server.limit(now) > 0 && is_confirmed(&server.status.owner))
     }
 
     /// Returns whether a cold server owned by this entry is below its limit.
@@ -238,7 +241,7 @@
     /// Returns whether a server has answered a request successfully within the last second.
     pub fn has_recent_answer(&self, server: &ServerName, now: Instant) -> bool {
         let found =
-            self.servers.iter().find(|known| known.view.record.announcement.server == *server);
+            self.servers.iter().find(|known| known.status.record.announcement.server == *server);
         found.is_some_and(|known| !known.recent_latency(now).is_zero())
     }
 
@@ -260,11 +263,11 @@
     /// Describes the first violation found.
     pub fn verify(&self) -> Result<(), String> {
         for server in &self.servers {
-            let slots = u32::from(server.view.record.announcement.slots);
+            let slots = u32::from(server.status.record.announcement.slots);
             if server.in_flight > slots.max(1) {
                 return Err(format!(
                     "server {} has {} requests in flight, but only {slots} slots",
-                    server.view.record.announcement.server, server.in_flight
+                    server.status.record.announcement.server, server.in_flight
                 ));
             }
         }
@@ -295,8 +298,8 @@
                 && server.health.is_ejected(now)
                 && !server.is_suspected(now)
                 && server.limit_when_admitted() > 0
-                && is_confirmed(&server.view.owner)
-                && !excluded.contains(&server.view.record.announcement.server)
+                && is_confirmed(&server.status.owner)
+                && !excluded.contains(&server.status.record.announcement.server)
         };
         let pairs = || self.servers.iter().zip(candidates.iter());
         let eligible = candidates.iter().filter(|candidate| candidate.limit > 0).count();
@@ -333,17 +336,17 @@
 
 impl BalancerSettings {
     /// Returns the state of a server after an update, given its previous state.
-    fn updated(&self, known: Option<TrackedServer>, view: ServerView) -> TrackedServer {
-        let incarnation = |view: &ServerView| view.record.announcement.incarnation;
+    fn updated(&self, known: Option<TrackedServer>, status: ServerStatus) -> TrackedServer {
+        let incarnation = |status: &ServerStatus| status.record.announcement.incarnation;
         let in_flight = known.as_ref().map_or(0, |server| server.in_flight);
         let mut server = match known {
-            Some(server) if incarnation(&server.view) == incarnation(&view) => {
-                let has_changed = server.view.record != view.record;
+            Some(server) if incarnation(&server.status) == incarnation(&status) => {
+                let has_changed = server.status.record != status.record;
                 let suspected_until = server.suspected_until.filter(|_| !has_changed);
                 TrackedServer { suspected_until, ..server }
             }
             _ => TrackedServer {
-                view: view.clone(),
+                status: status.clone(),
                 in_flight,
                 latency: LatencyTracker::default(),
                 sampled: None,
@@ -354,15 +357,15 @@
                 suspected_until: None,
             },
         };
-        let slots = view.record.announcement.slots;
-        server.ramp = match (view.record.stage, server.ramp.take()) {
-            (ServerStage::Cold, Some(ramp)) if view.may_warm => Some(ramp),
-            (ServerStage::Cold, _) if view.may_warm => {
+        let slots = status.record.announcement.slots;
+        server.ramp = match (status.record.stage, server.ramp.take()) {
+            (ServerStage::Cold, Some(ramp)) if status.may_warm => Some(ramp),
+            (ServerStage::Cold, _) if status.may_warm => {
                 Some(WarmUpRamp::new(self.cold_concurrency, slots))
             }
             _ => None,
         };
-        server.view = view;
+        server.status = status;
         server
     }
 }
@@ -403,11 +406,11 @@
 
     /// Returns the limit that applies while the server is neither ejected nor suspected.
     fn limit_when_admitted(&self) -> u32 {
-        if self.view.is_drained {
+        if self.status.is_drained {
             return 0;
         }
-        let limit = match (self.view.record.stage, &self.ramp) {
-            (ServerStage::Warm, _) => u32::from(self.view.record.announcement.slots),
+        let limit = match (self.status.record.stage, &self.ramp) {
+            (ServerStage::Warm, _) => u32::from(self.status.record.announcement.slots),
             (ServerStage::Cold, Some(ramp)) => ramp.limit(),
             (ServerStage::Cold, None) | (ServerStage::Leaving, _) => 0,
         };
@@ -415,12 +418,12 @@
     }
 
     fn picked(&self) -> PickedServer {
-        let announcement = &self.view.record.announcement;
+        let announcement = &self.status.record.announcement;
         PickedServer {
             name: announcement.server.clone(),
             address: announcement.address,
             incarnation: announcement.incarnation,
-            owner: self.view.owner.clone(),
+            owner: self.status.owner.clone(),
         }
     }
 
@@ -467,14 +470,14 @@
         if self.is_suspected(now) {
             return None;
         }
-        let known = self.view.record.announcement.incarnation;
+        let known = self.status.record.announcement.incarnation;
         if report.is_leaving {
             return Some(SuspectKind::Leaving);
         }
         if report.incarnation.is_some_and(|incarnation| incarnation != known) {
             return Some(SuspectKind::Restarted);
         }
-        let is_warm = self.view.record.stage == ServerStage::Warm;
+        let is_warm = self.status.record.stage == ServerStage::Warm;
         match outcome {
             AttemptOutcome::Unreachable if is_warm => Some(SuspectKind::Unreachable),
             AttemptOutcome::Broken if is_warm => Some(SuspectKind::Restarted),
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -2,7 +2,7 @@
 
 use hawthornhill_policy::{
     AnnounceOutcome, AttemptOutcome, BalancerSettings, CandidateLoad, LatencySelector, PickResult,
-    PickedServer, ServerDirectory, ServerRegistry, ServerReport, ServerSelector, ServerView,
+    PickedServer, ServerDirectory, ServerRegistry, ServerReport, ServerSelector, ServerStatus,
     ServiceBalancer, rank_entries,
 };
 use proptest::prelude::*;
@@ -250,13 +250,13 @@
     }
 }
 
-fn view(server: &str, stage: ServerStage, may_warm: bool) -> ServerView {
+fn server_status(server: &str, stage: ServerStage, may_warm: bool) -> ServerStatus {
     let state = match stage {
         ServerStage::Leaving => ServerState::Leaving,
         ServerStage::Cold | ServerStage::Warm => ServerState::Ready,
     };
     let record = ServerRecord { announcement: announcement(server, 1, 0, state), stage };
-    ServerView { record, owner: name("e"), may_warm, is_drained: false }
+    ServerStatus { record, owner: name("e"), may_warm, is_drained: false }
 }
 
 fn pick(balancer: &mut ServiceBalancer, now: Instant) -> Option<PickedServer> {
@@ -269,10 +269,10 @@
 #[test]
 fn ineligible_servers_are_never_picked() {
     let now = Instant::now();
-    let drained = ServerView { is_drained: true, ..view("x", ServerStage::Warm, false) };
+    let drained = ServerStatus { is_drained: true, ..server_status("x", ServerStage::Warm, false) };
     let cases = [
-        ("leaving", view("x", ServerStage::Leaving, true)),
-        ("cold, with another owner", view("x", ServerStage::Cold, false)),
+        ("leaving", server_status("x", ServerStage::Leaving, true)),
+        ("cold, with another owner", server_status("x", ServerStage::Cold, false)),
         ("drained", drained),
     ];
     for (case, server) in cases {
@@ -281,7 +281,7 @@
         assert_eq!(pick(&mut balancer, now), None, "{case}");
     }
     let mut balancer = ServiceBalancer::new(balancer_settings());
-    balancer.update(vec![view("x", ServerStage::Warm, false)]);
+    balancer.update(vec![server_status("x", ServerStage::Warm, false)]);
     let result = balancer.pick(&[], false, |_| false, now, &mut SmallRng::seed_from_u64(1));
     assert!(matches!(result, PickResult::NoneEligible { .. }), "no heartbeats from its owner");
 }
@@ -290,7 +290,9 @@
 fn fail_fast_server_does_not_attract_load() {
     let start = Instant::now();
     let mut balancer = ServiceBalancer::new(balancer_settings());
-    balancer.update(["bad", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
+    balancer.update(
+        ["bad", "x", "y", "z"].map(|n| server_status(n, ServerStage::Warm, false)).to_vec(),
+    );
     let mut rng = SmallRng::seed_from_u64(1);
     let mut at_bad = 0;
     for number in 0..2_000_u64 {
@@ -314,7 +316,8 @@
 fn recovered_server_gets_requests_again() {
     let start = Instant::now();
     let mut balancer = ServiceBalancer::new(balancer_settings());
-    balancer.update(["slow", "x", "y"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
+    balancer
+        .update(["slow", "x", "y"].map(|n| server_status(n, ServerStage::Warm, false)).to_vec());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut late_picks = 0;
     for number in 0..5_000_u64 {
@@ -347,7 +350,7 @@
     let settings = BalancerSettings { selector: Arc::new(RandomSelector), ..balancer_settings() };
     let mut balancer = ServiceBalancer::new(settings);
     let names = healthy.iter().copied().chain(["slow"]);
-    balancer.update(names.map(|name| view(name, ServerStage::Warm, false)).collect());
+    balancer.update(names.map(|name| server_status(name, ServerStage::Warm, false)).collect());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut picks = 0;
     for number in 0..5_000_u64 {
@@ -378,7 +381,8 @@
 fn servers_are_not_all_ejected_for_bad_health() {
     let now = Instant::now();
     let mut balancer = ServiceBalancer::new(balancer_settings());
-    balancer.update(["w", "x", "y", "z"].map(|n| view(n, ServerStage::Warm, false)).to_vec());
+    balancer
+        .update(["w", "x", "y", "z"].map(|n| server_status(n, ServerStage::Warm, false)).to_vec());
     for _ in 0..200 {
         if let Some(server) = pick(&mut balancer, now) {
             balancer.release(&server, AttemptOutcome::ServerError, &ServerReport::default(), now);
@@ -392,7 +396,7 @@
     let now = Instant::now();
     let check_suspicion = |report: ServerReport, expected| {
         let mut balancer = ServiceBalancer::new(balancer_settings());
-        balancer.update(vec![view("x", ServerStage::Warm, false)]);
+        balancer.update(vec![server_status("x", ServerStage::Warm, false)]);
         let picked = pick(&mut balancer, now).expect("warm");
         let success = AttemptOutcome::Success(Duration::from_millis(1));
         let release = balancer.release(&picked, success, &report, now);
@@ -415,7 +419,7 @@
     fn cold_server_is_not_overloaded(actions in proptest::collection::vec(0..5_u8, 1..400)) {
         let now = Instant::now();
         let mut balancer = ServiceBalancer::new(balancer_settings());
-        balancer.update(vec![view("x", ServerStage::Cold, true)]);
+        balancer.update(vec![server_status("x", ServerStage::Cold, true)]);
         let mut in_flight: Vec<PickedServer> = Vec::new();
         let mut successes = 0_u32;
         for action in actions {
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 use policy::{
     AttemptOutcome, BalancerSettings, LatencySelector, PickResult, ServerReport, ServerSelector,
-    ServerView, ServiceBalancer,
+    ServerStatus, ServiceBalancer,
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use std::{
@@ -114,7 +114,7 @@
     }
 }
 
-fn server_view(server: &FakeServer) -> ServerView {
+fn server_view(server: &FakeServer) -> ServerStatus {
     let announcement = Announcement {
         server: server.name().clone(),
         service: "s".parse().expect("valid"),
@@ -127,7 +127,7 @@
     };
     let record = ServerRecord { announcement, stage: ServerStage::Warm };
     let owner = "e".parse().expect("valid");
-    ServerView { record, owner, may_warm: false, is_drained: false }
+    ServerStatus { record, owner, may_warm: false, is_drained: false }
 }
 
 async fn start_servers(size: &ServiceSize) -> Vec<FakeServer> {
