--- a/crates/policy/src/cold_share.rs
+++ b/crates/policy/src/cold_share.rs
@@ -2,8 +2,8 @@
 //!
 //! Rendezvous hashing chooses a few warm-up entries for each cold server, and each of them uses an
 //! equal share of the server's rate. Other entries send it nothing, so that the limit holds while
-//! entries cannot reach each other. Warm-up entries are not shard owners: a server has several of
-//! the former, but only one shard owner.
+//! entries cannot reach each other. The warm-up entries of a server are chosen independently of its
+//! shard owner, which is a single entry.
 
 use std::time::{Duration, Instant};
 use types::{EntryName, ServerName};
@@ -14,7 +14,8 @@
 /// entries disagree about the set of entries, and so about the warm-up entries.
 const RATE_SHARE: f64 = 0.8;
 
-/// Returns whether an entry is one of the warm-up entries of a server, given all entries.
+/// Returns whether an entry is one of the warm-up entries of a server, given the entries to
+/// choose from.
 pub fn is_warm_up_entry<'a>(
     entry: &EntryName,
     entries: impl Iterator<Item = &'a EntryName>,
--- a/crates/policy/src/directory.rs
+++ b/crates/policy/src/directory.rs
@@ -4,7 +4,7 @@
 //! that owner has sent one, a former owner's record is used if it says that the server is warm.
 //!
 //! The directory does not check whether an owner's heartbeats still arrive. It stores when each
-//! owner's records were last known to be current, and its user ignores records for which this is
+//! owner's records were last known to be current, and the entry ignores records for which this is
 //! longer ago than [`HEARTBEAT_TIMEOUT`].
 
 use std::{
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Ejects a server that has become slow, each time for twice as long.
+    /// Ejects a server that has become slow, each time for twice as long, up to the maximum.
     pub fn eject_slow(&mut self, now: Instant) {
         self.slow_ejection = (self.slow_ejection * 2).clamp(MIN_SLOW_EJECTION, MAX_SLOW_EJECTION);
         self.eject_for(self.slow_ejection, now);
@@ -105,7 +105,8 @@
         self.failure_rate += (failure - self.failure_rate) * FAILURE_RATE_WEIGHT;
     }
 
-    /// Ejects the server for twice as long as the last time, and makes it half-open.
+    /// Ejects the server for twice as long as the last time, up to the maximum, and makes it
+    /// half-open.
     fn lengthen_ejection(&mut self, now: Instant) {
         self.ejection = (self.ejection * 2).clamp(MIN_EJECTION, MAX_EJECTION);
         self.is_half_open = true;
--- a/crates/policy/src/retry_delay.rs
+++ b/crates/policy/src/retry_delay.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// Shortest delay, without jitter.
+/// Shortest delay, before jitter is added.
 const MIN_DELAY: Duration = Duration::from_millis(50);
-/// Longest delay, with jitter.
+/// Longest delay, including jitter.
 const MAX_DELAY: Duration = Duration::from_secs(2);
 
 /// Time at which servers are expected to have capacity for a refused request.
