--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
 //! The control plane that replicas provide to operators, servers and callers that look up entries.
 //!
 //! Commands of operators and changes of the registry go through the leader and are answered only
-//! once they are in the replicated log. The set of replicas bootstraps from seeds and replaces lost
-//! members.
+//! once they are committed to the replicated log. The set of replicas is bootstrapped from seeds;
+//! lost members are removed, and new replicas join.
 
 mod directory;
 mod error;
@@ -14,5 +14,5 @@
 pub use directory::{DIRECTORY_MAX_AGE, EntryDirectory, directory_entries};
 pub use error::ControlError;
 pub use group::{MembershipManager, MembershipSettings, seed_identity};
-pub use membership::{MemberHealth, plan_member_change};
+pub use membership::{MemberHealth, plan_member_removal};
 pub use plane::{ControlPlane, ReplicaControl};
--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -11,8 +11,8 @@
 use parking_lot::{Mutex, RwLock};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
 use policy::{
-    AnnounceOutcome, DirectoryServer, HEARTBEAT_TIMEOUT, LoadSettings, PickedServer,
-    ServerDirectory, ServerView,
+    AnnounceOutcome, BalancerSettings, DirectoryServer, HEARTBEAT_TIMEOUT, PickedServer,
+    ServerDirectory, ServerStatus,
 };
 use runtime::EventKind;
 use server::{AnnounceAnswer, AnnounceHandler, AnnounceRefusal};
@@ -60,7 +60,7 @@
     pub(crate) fn new(
         context: Arc<EntryContext>,
         link: Arc<dyn PeerLink>,
-        settings: LoadSettings,
+        settings: BalancerSettings,
     ) -> Arc<Self> {
         Arc::new_cyclic(|weak_self: &Weak<Self>| {
             let pool_catalog: Weak<dyn PoolCatalog> = weak_self.clone();
@@ -118,7 +118,7 @@
             return;
         }
         let now = Instant::now();
-        let request = self.directory.lock().observe_beat(heartbeat, now);
+        let request = self.directory.lock().observe_heartbeat(heartbeat, now);
         match request {
             None => self.clock(&heartbeat.owner.entry).confirm(now),
             Some(request) => self.start_pull(heartbeat.owner.clone(), request),
@@ -178,7 +178,7 @@
     }
 
     /// Returns all servers that this entry knows, ordered by service and name.
-    pub(crate) fn server_views(&self) -> Vec<ServerView> {
+    pub(crate) fn server_views(&self) -> Vec<ServerStatus> {
         let view = self.context.view();
         let directory = self.directory.lock();
         let services: Vec<ServiceName> = directory.services().cloned().collect();
@@ -212,7 +212,7 @@
         let changed = {
             let mut directory = self.directory.lock();
             let mut changed = BTreeSet::new();
-            while let Some(request) = directory.observe_beat(&self.ranges.heartbeat(), now) {
+            while let Some(request) = directory.observe_heartbeat(&self.ranges.heartbeat(), now) {
                 let delta = self.ranges.delta(&request);
                 changed.extend(directory.apply(&delta, now));
             }
@@ -295,14 +295,14 @@
         server: DirectoryServer,
         view: &ClusterView,
         timeout: Duration,
-    ) -> ServerView {
+    ) -> ServerStatus {
         let DirectoryServer { record, owner } = server;
         let is_own = owner == self.context.name();
         let may_warm = is_own
             && record.stage == ServerStage::Cold
             && self.ranges.may_warm(&record.announcement.server, timeout);
         let is_drained = view.is_drained(&record.announcement.domain);
-        ServerView { record, owner, may_warm, is_drained }
+        ServerStatus { record, owner, may_warm, is_drained }
     }
 
     /// Returns the clock of an owner's confirmations, and creates it if there is none.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -7,7 +7,7 @@
 use caller::{CallerListener, ListenError, ListenerSettings};
 use follow::{LeaderClient, RefresherContext, ViewRefresher};
 use peer::{PeerAnswer, PeerLink, PeerRequest, PeerTarget};
-use policy::{AdmissionGate, AdmissionSettings, LoadSettings, ServerView};
+use policy::{AdmissionGate, AdmissionSettings, BalancerSettings, ServerStatus};
 use runtime::{EventKind, EventTags};
 use server::{ServerTransport, serve_announcements};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -26,7 +26,7 @@
     /// Limits for the admission of requests.
     pub admission: AdmissionSettings,
     /// Settings for the selection of servers.
-    pub load: LoadSettings,
+    pub load: BalancerSettings,
     /// Limits for the connections and requests of callers.
     pub listener: ListenerSettings,
     /// Time for which callers may cache an answer of the directory.
@@ -121,7 +121,7 @@
     }
 
     /// Returns all servers that this entry knows.
-    pub fn servers(&self) -> Vec<ServerView> {
+    pub fn servers(&self) -> Vec<ServerStatus> {
         self.catalog.server_views()
     }
 
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -4,8 +4,8 @@
 use crate::EntryContext;
 use parking_lot::Mutex;
 use policy::{
-    AttemptOutcome, LatencyTracker, LoadSettings, PickResult, PickedServer, ReleaseOutcome,
-    RetryBudget, ServerReport, ServerView, ServiceLoad, expected_wait,
+    AttemptOutcome, BalancerSettings, LatencyTracker, PickResult, PickedServer, ReleaseOutcome,
+    RetryBudget, ServerReport, ServerStatus, ServiceBalancer, expected_wait,
 };
 use runtime::EventKind;
 use smallvec::SmallVec;
@@ -67,7 +67,7 @@
 
 /// The mutable state of a pool.
 struct PoolState {
-    load: ServiceLoad,
+    load: ServiceBalancer,
     waiting: VecDeque<WaitingRequest>,
     retries: RetryBudget,
     hedges: RetryBudget,
@@ -131,10 +131,10 @@
     fn new(
         context: Arc<EntryContext>,
         catalog: Weak<dyn PoolCatalog>,
-        settings: LoadSettings,
+        settings: BalancerSettings,
     ) -> Self {
         let state = PoolState {
-            load: ServiceLoad::new(settings),
+            load: ServiceBalancer::new(settings),
             waiting: VecDeque::new(),
             retries: RetryBudget::new(0),
             hedges: RetryBudget::new(0),
@@ -182,7 +182,7 @@
     /// enough answers have been received.
     pub(crate) fn hedge_delay(&self) -> Option<Duration> {
         let latency = self.state.lock().latency;
-        (latency.samples() >= MIN_LATENCY_SAMPLES).then(|| latency.quantile())
+        (latency.samples() >= MIN_LATENCY_SAMPLES).then(|| latency.p95())
     }
 
     /// Returns the time after which an attempt without an answer counts as late, or `None` until
@@ -190,11 +190,11 @@
     fn late_limit(&self) -> Option<Duration> {
         let latency = self.state.lock().latency;
         let is_known = latency.samples() >= MIN_LATENCY_SAMPLES;
-        is_known.then(|| (latency.quantile() * LATE_FACTOR).max(MIN_LATE_LIMIT))
+        is_known.then(|| (latency.p95() * LATE_FACTOR).max(MIN_LATE_LIMIT))
     }
 
     /// Updates the servers from the directory and assigns free capacity to waiting requests.
-    pub(crate) fn update(self: &Arc<Self>, views: Vec<ServerView>, spec: Option<&ServiceSpec>) {
+    pub(crate) fn update(self: &Arc<Self>, views: Vec<ServerStatus>, spec: Option<&ServiceSpec>) {
         {
             let mut state = self.state.lock();
             if let Some(spec) = spec {
@@ -408,7 +408,7 @@
 pub(crate) struct PoolTable {
     context: Arc<EntryContext>,
     catalog: Weak<dyn PoolCatalog>,
-    settings: LoadSettings,
+    settings: BalancerSettings,
     buckets: [Mutex<HashMap<ServiceName, Arc<ServicePool>>>; BUCKET_COUNT],
     /// Requests in flight over all pools.
     pub(crate) in_flight: Arc<AtomicUsize>,
@@ -418,7 +418,7 @@
     pub(crate) fn new(
         context: Arc<EntryContext>,
         catalog: Weak<dyn PoolCatalog>,
-        settings: LoadSettings,
+        settings: BalancerSettings,
     ) -> Self {
         let buckets = Default::default();
         Self { context, catalog, settings, buckets, in_flight: Arc::default() }
--- a/crates/policy/src/directory.rs
+++ b/crates/policy/src/directory.rs
@@ -1,8 +1,11 @@
 //! An entry's directory of all servers, merged from the registries of their owners.
 //!
-//! A server's records count only from the owner that the replicated view names for it, and only
-//! while that owner's heartbeats arrive. Until that owner has sent a record, a former owner's record
-//! of a warm server is used.
+//! The record of a server comes from the shard owner that the replicated view names for it. Until
+//! that owner has sent one, a former owner's record is used if it says that the server is warm.
+//!
+//! The directory does not check whether an owner's heartbeats still arrive. It stores when each
+//! owner's records were last known to be current, and the entry ignores records for which this is
+//! longer ago than [`HEARTBEAT_TIMEOUT`].
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -44,15 +47,19 @@
 }
 
 impl ServerDirectory {
-    /// Applies a heartbeat of an owner. Returns the request for the changes that this entry lacks, if
-    /// any.
-    pub fn observe_beat(&mut self, beat: &OwnerHeartbeat, now: Instant) -> Option<RegistryRequest> {
+    /// Applies a heartbeat of an owner. Returns the request for the changes that this entry lacks,
+    /// if any.
+    pub fn observe_heartbeat(
+        &mut self,
+        heartbeat: &OwnerHeartbeat,
+        now: Instant,
+    ) -> Option<RegistryRequest> {
         let copy = self
             .copies
-            .get_mut(&beat.owner.entry)
-            .filter(|copy| copy.incarnation == beat.owner.incarnation);
+            .get_mut(&heartbeat.owner.entry)
+            .filter(|copy| copy.incarnation == heartbeat.owner.incarnation);
         match copy {
-            Some(copy) if copy.version >= beat.version => {
+            Some(copy) if copy.version >= heartbeat.version => {
                 copy.confirmed = now;
                 None
             }
@@ -61,14 +68,15 @@
                 Some(RegistryRequest { incarnation, since })
             }
             None => {
-                let incarnation = beat.owner.incarnation;
+                let incarnation = heartbeat.owner.incarnation;
                 Some(RegistryRequest { incarnation, since: RegistryVersion(0) })
             }
         }
     }
 
-    /// Applies a delta that was requested at `asked`. Returns the services whose servers changed.
-    pub fn apply(&mut self, delta: &RegistryDelta, asked: Instant) -> BTreeSet<ServiceName> {
+    /// Applies a delta that was requested at `requested_at`. Returns the services whose servers
+    /// changed.
+    pub fn apply(&mut self, delta: &RegistryDelta, requested_at: Instant) -> BTreeSet<ServiceName> {
         let mut changed = BTreeSet::new();
         let owner = &delta.owner.entry;
         let is_known =
@@ -78,7 +86,7 @@
             let copy = RegistryCopy {
                 incarnation: delta.owner.incarnation,
                 version: RegistryVersion(0),
-                confirmed: asked,
+                confirmed: requested_at,
                 servers: BTreeMap::new(),
             };
             self.copies.insert(owner.clone(), copy);
@@ -111,7 +119,7 @@
             }
         }
         copy.version = delta.version;
-        copy.confirmed = copy.confirmed.max(asked);
+        copy.confirmed = copy.confirmed.max(requested_at);
         changed
     }
 
@@ -126,7 +134,7 @@
     /// Returns the servers of a service.
     ///
     /// The record of a server's current owner is used. Until that owner has sent one, the record of
-    /// a former owner is used if the server was warm.
+    /// a former owner is used if it says that the server is warm.
     pub fn servers(&self, service: &ServiceName, view: &ClusterView) -> Vec<DirectoryServer> {
         let Some(known) = self.services.get(service) else {
             return Vec::new();
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -26,8 +26,8 @@
 
 pub use admission::{AdmissionGate, AdmissionSettings, retry_after};
 pub use caller_timeouts::CallerTimeouts;
-pub use cold_share::{COLD_OWNERS, ColdAllowance, owns_cold_server, rendezvous_weight};
-pub use cold_start::ColdRamp;
+pub use cold_share::{ColdAllowance, WARM_UP_ENTRIES, is_warm_up_entry, rendezvous_weight};
+pub use cold_start::WarmUpRamp;
 pub use directory::{DirectoryServer, HEARTBEAT_TIMEOUT, ServerDirectory};
 pub use entry_ranking::rank_entries;
 pub use first_routes::StartupWait;
@@ -43,8 +43,8 @@
 pub use retry_delay::{CapacityForecast, retry_delay};
 pub use selection::{CandidateLoad, LatencySelector, ServerSelector};
 pub use service_load::{
-    LoadSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerView, ServiceLoad,
-    expected_wait,
+    BalancerSettings, PickResult, PickedServer, ReleaseOutcome, ServerReport, ServerStatus,
+    ServiceBalancer, expected_wait,
 };
 pub use service_time::ServiceTime;
 pub use shared_budget::{BudgetLimits, SharedBudget};
--- a/crates/policy/src/service_load.rs
+++ b/crates/policy/src/service_load.rs
@@ -1,8 +1,8 @@
 //! One entry's state of the servers of one service, and the choice of a server for a request.
 
 use crate::{
-    AttemptOutcome, CandidateLoad, ColdRamp, LatencyTracker, MedianTest, ServerHealth,
-    ServerSelector,
+    AttemptOutcome, CandidateLoad, LatencyTracker, MedianTest, ServerHealth, ServerSelector,
+    WarmUpRamp,
 };
 use rand::RngCore;
 use smallvec::SmallVec;
@@ -13,7 +13,8 @@
 };
 use types::{EntryName, ServerIncarnation, ServerName, ServerRecord, ServerStage, SuspectKind};
 
-/// Time for which a suspected server gets no requests, unless its owner sends a changed record first.
+/// Time for which a suspected server gets no requests, unless its shard owner sends a changed
+/// record first.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Age of the last sample from which a server's latency counts as unknown.
@@ -21,7 +22,7 @@
 
 /// Settings for the choice among the servers of a service.
 #[derive(Clone)]
-pub struct LoadSettings {
+pub struct BalancerSettings {
     /// Initial limit on concurrent requests at a cold server.
     pub cold_concurrency: u16,
     /// Maximum share of a service's servers that are ejected for bad health, in percent.
@@ -30,14 +31,14 @@
     pub selector: Arc<dyn ServerSelector>,
 }
 
-/// A server as known from the directory.
+/// A server's record in the directory, and the restrictions on this entry's use of the server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServerView {
+pub struct ServerStatus {
     /// Announcement and stage.
     pub record: ServerRecord,
-    /// Owner of the server.
+    /// Shard owner of the server.
     pub owner: EntryName,
-    /// Whether this entry is the owner and may send it requests while it is cold.
+    /// Whether this entry is the shard owner and may send the server requests while it is cold.
     pub may_warm: bool,
     /// Whether the server's failure domain is drained.
     pub is_drained: bool,
@@ -45,7 +46,7 @@
 
 #[derive(Debug, Clone)]
 struct TrackedServer {
-    view: ServerView,
+    status: ServerStatus,
     in_flight: u32,
     latency: LatencyTracker,
     /// Time of the last latency sample.
@@ -54,9 +55,10 @@
     report: Option<(u32, Instant)>,
     health: ServerHealth,
     slowness: MedianTest,
-    /// Slow start, if this entry owns the server and it is cold.
-    ramp: Option<ColdRamp>,
-    /// End of the suspicion of this incarnation, unless its owner sends a changed record first.
+    /// Warm-up ramp, if the server is cold and this entry may warm it.
+    ramp: Option<WarmUpRamp>,
+    /// End of the suspicion of this incarnation, unless the shard owner sends a changed record
+    /// first.
     suspected_until: Option<Instant>,
 }
 
@@ -69,7 +71,7 @@
     pub address: SocketAddr,
     /// Incarnation when it was picked.
     pub incarnation: ServerIncarnation,
-    /// Owner of the server.
+    /// Shard owner of the server.
     pub owner: EntryName,
 }
 
@@ -82,7 +84,7 @@
     Busy,
     /// There is no server to which this entry may send requests.
     NoneEligible {
-        /// Owners of cold servers of this service, which may send them requests.
+        /// Shard owners of cold servers of this service, which may send them requests.
         cold_owners: SmallVec<[EntryName; 2]>,
     },
 }
@@ -90,56 +92,57 @@
 /// State changes of a server found at the end of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReleaseOutcome {
-    /// Whether the server has completed its slow start.
+    /// Whether the server has completed its warm-up.
     pub is_warm: bool,
     /// Whether the server has become slow and was ejected.
     pub is_slow: bool,
-    /// Suspicion to report to the server's owner, if any.
+    /// Suspicion to report to the server's shard owner, if any.
     pub suspicion: Option<SuspectKind>,
 }
 
 /// The servers of one service.
 ///
-/// Invariant: a cold server gets a request only if this entry is its owner and has fewer requests in
-/// flight there than its ramp allows.
-pub struct ServiceLoad {
-    settings: LoadSettings,
+/// Invariant: a cold server gets a request only if this entry is its shard owner and has fewer
+/// requests in flight there than the warm-up ramp allows.
+pub struct ServiceBalancer {
+    settings: BalancerSettings,
     servers: Vec<TrackedServer>,
 }
 
-impl ServiceLoad {
+impl ServiceBalancer {
     /// Returns an empty set of servers.
-    pub fn new(settings: LoadSettings) -> Self {
+    pub fn new(settings: BalancerSettings) -> Self {
         Self { settings, servers: Vec::new() }
     }
 
-    /// Sets the initial limit of a cold server, for ramps that start later.
+    /// Sets the initial limit of cold servers, for warm-up ramps that start later.
     pub fn set_cold_concurrency(&mut self, cold_concurrency: u16) {
         self.settings.cold_concurrency = cold_concurrency;
     }
 
     /// Replaces the servers by the directory's current ones. Latency, health and other state of a
     /// server is kept while its incarnation stays the same.
-    pub fn update(&mut self, views: Vec<ServerView>) {
+    pub fn update(&mut self, statuses: Vec<ServerStatus>) {
         let mut previous = std::mem::take(&mut self.servers);
-        for view in views {
-            let name = &view.record.announcement.server;
-            let position = previous.iter().position(|s| s.view.record.announcement.server == *name);
+        for status in statuses {
+            let name = &status.record.announcement.server;
+            let position =
+                previous.iter().position(|s| s.status.record.announcement.server == *name);
             let known = position.map(|position| previous.swap_remove(position));
-            self.servers.push(self.settings.updated(known, view));
+            self.servers.push(self.settings.updated(known, status));
         }
         // Removed servers stay until their requests in flight have ended, but get no new ones.
         for mut removed in previous.into_iter().filter(|server| server.in_flight > 0) {
-            removed.view.record.stage = ServerStage::Leaving;
+            removed.status.record.stage = ServerStage::Leaving;
             self.servers.push(removed);
         }
     }
 
     /// Picks a server for one request and counts the request as in flight there.
     ///
-    /// Skips the servers in `excluded` and those of owners whose records are out of date, for which
-    /// `is_confirmed` returns false. With `prefers_cold`, a cold server owned by this entry is picked
-    /// first if one is below its limit.
+    /// Skips the servers in `excluded` and those of shard owners whose records are out of date, for
+    /// which `is_confirmed` returns false. With `prefers_cold`, a cold server owned by this entry
+    /// is picked first if one is below its limit.
     pub fn pick(
         &mut self,
         excluded: &[ServerName],
@@ -153,8 +156,8 @@
             .servers
             .iter()
             .map(|server| {
-                let is_usable = is_confirmed(&server.view.owner)
-                    && !excluded.contains(&server.view.record.announcement.server);
+                let is_usable = is_confirmed(&server.status.owner)
+                    && !excluded.contains(&server.status.record.announcement.server);
                 server.candidate(is_usable, typical, now)
             })
             .collect();
@@ -172,17 +175,17 @@
         PickResult::NoneEligible { cold_owners: self.cold_owners(is_confirmed) }
     }
 
-    /// Returns the owners of the cold servers to which this entry may not send requests.
+    /// Returns the shard owners of the cold servers to which this entry may not send requests.
     pub fn cold_owners(
         &self,
         is_confirmed: impl Fn(&EntryName) -> bool,
     ) -> SmallVec<[EntryName; 2]> {
         let mut owners = SmallVec::new();
         for server in &self.servers {
-            let is_cold = server.view.record.stage == ServerStage::Cold
-                && !server.view.may_warm
-                && !server.view.is_drained;
-            let owner = &server.view.owner;
+            let is_cold = server.status.record.stage == ServerStage::Cold
+                && !server.status.may_warm
+                && !server.status.is_drained;
+            let owner = &server.status.owner;
             if is_cold && is_confirmed(owner) && !owners.contains(owner) {
                 owners.push(owner.clone());
             }
@@ -190,8 +193,8 @@
         owners
     }
 
-    /// Records the end of a request at a picked server. Updates only the count of requests in flight
-    /// if the server has restarted since.
+    /// Records the end of a request at a picked server. Updates only the count of requests in
+    /// flight if the server has restarted since.
     pub fn release(
         &mut self,
         picked: &PickedServer,
@@ -203,12 +206,12 @@
         let found = self
             .servers
             .iter_mut()
-            .find(|server| server.view.record.announcement.server == picked.name);
+            .find(|server| server.status.record.announcement.server == picked.name);
         let Some(server) = found else {
             return ReleaseOutcome::default();
         };
         server.in_flight = server.in_flight.saturating_sub(1);
-        if server.view.record.announcement.incarnation != picked.incarnation {
+        if server.status.record.announcement.incarnation != picked.incarnation {
             return ReleaseOutcome::default();
         }
         let mut release = server.record_end(outcome, report, now);
@@ -221,9 +224,12 @@
         release
     }
 
-    /// Returns whether this entry may send requests to any server, now or once it is below its limit.
+    /// Returns whether this entry may send requests to any server, now or once it is below its
+    /// limit.
     pub fn has_eligible(&self, is_confirmed: impl Fn(&EntryName) -> bool, now: Instant) -> bool {
-        self.servers.iter().any(|server| server.limit(now) > 0 && is_confirmed(&server.view.owner))
+        self.servers
+            .iter()
+            .any(|server| server.limit(now) > 0 && is_confirmed(&server.status.owner))
     }
 
     /// Returns whether a cold server owned by this entry is below its limit.
@@ -235,7 +241,7 @@
     /// Returns whether a server has answered a request successfully within the last second.
     pub fn has_recent_answer(&self, server: &ServerName, now: Instant) -> bool {
         let found =
-            self.servers.iter().find(|known| known.view.record.announcement.server == *server);
+            self.servers.iter().find(|known| known.status.record.announcement.server == *server);
         found.is_some_and(|known| !known.recent_latency(now).is_zero())
     }
 
@@ -249,18 +255,19 @@
         self.servers.iter().map(|server| server.limit(now)).sum()
     }
 
-    /// Checks that no server has more requests in flight than slots.
+    /// Checks that no server has more requests in flight than slots. One request is allowed at a
+    /// server without slots.
     ///
     /// # Errors
     ///
     /// Describes the first violation found.
     pub fn verify(&self) -> Result<(), String> {
         for server in &self.servers {
-            let slots = u32::from(server.view.record.announcement.slots);
+            let slots = u32::from(server.status.record.announcement.slots);
             if server.in_flight > slots.max(1) {
                 return Err(format!(
                     "server {} has {} requests in flight, but only {slots} slots",
-                    server.view.record.announcement.server, server.in_flight
+                    server.status.record.announcement.server, server.in_flight
                 ));
             }
         }
@@ -291,8 +298,8 @@
                 && server.health.is_ejected(now)
                 && !server.is_suspected(now)
                 && server.limit_when_admitted() > 0
-                && is_confirmed(&server.view.owner)
-                && !excluded.contains(&server.view.record.announcement.server)
+                && is_confirmed(&server.status.owner)
+                && !excluded.contains(&server.status.record.announcement.server)
         };
         let pairs = || self.servers.iter().zip(candidates.iter());
         let eligible = candidates.iter().filter(|candidate| candidate.limit > 0).count();
@@ -307,6 +314,8 @@
         }
     }
 
+    /// Returns the index of the first cold server that this entry may warm and that is below its
+    /// limit.
     fn pick_cold(&self, candidates: &[CandidateLoad]) -> Option<usize> {
         self.servers.iter().zip(candidates).position(|(server, candidate)| {
             server.ramp.is_some() && candidate.in_flight < candidate.limit
@@ -314,7 +323,7 @@
     }
 }
 
-/// What a server reports about itself in an answer.
+/// Report of a server about itself, sent with an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerReport {
     /// Requests in flight at the server.
@@ -325,19 +334,19 @@
     pub is_leaving: bool,
 }
 
-impl LoadSettings {
+impl BalancerSettings {
     /// Returns the state of a server after an update, given its previous state.
-    fn updated(&self, known: Option<TrackedServer>, view: ServerView) -> TrackedServer {
-        let incarnation = |view: &ServerView| view.record.announcement.incarnation;
+    fn updated(&self, known: Option<TrackedServer>, status: ServerStatus) -> TrackedServer {
+        let incarnation = |status: &ServerStatus| status.record.announcement.incarnation;
         let in_flight = known.as_ref().map_or(0, |server| server.in_flight);
         let mut server = match known {
-            Some(server) if incarnation(&server.view) == incarnation(&view) => {
-                let has_changed = server.view.record != view.record;
+            Some(server) if incarnation(&server.status) == incarnation(&status) => {
+                let has_changed = server.status.record != status.record;
                 let suspected_until = server.suspected_until.filter(|_| !has_changed);
                 TrackedServer { suspected_until, ..server }
             }
             _ => TrackedServer {
-                view: view.clone(),
+                status: status.clone(),
                 in_flight,
                 latency: LatencyTracker::default(),
                 sampled: None,
@@ -348,21 +357,22 @@
                 suspected_until: None,
             },
         };
-        let slots = view.record.announcement.slots;
-        server.ramp = match (view.record.stage, server.ramp.take()) {
-            (ServerStage::Cold, Some(ramp)) if view.may_warm => Some(ramp),
-            (ServerStage::Cold, _) if view.may_warm => {
-                Some(ColdRamp::new(self.cold_concurrency, slots))
+        let slots = status.record.announcement.slots;
+        server.ramp = match (status.record.stage, server.ramp.take()) {
+            (ServerStage::Cold, Some(ramp)) if status.may_warm => Some(ramp),
+            (ServerStage::Cold, _) if status.may_warm => {
+                Some(WarmUpRamp::new(self.cold_concurrency, slots))
             }
             _ => None,
         };
-        server.view = view;
+        server.status = status;
         server
     }
 }
 
 impl TrackedServer {
-    /// Returns the load by which servers are compared. An unknown latency counts as the typical one.
+    /// Returns the load by which servers are compared. An unknown latency counts as the typical
+    /// one.
     fn candidate(&self, is_usable: bool, typical: Duration, now: Instant) -> CandidateLoad {
         let known = self.recent_latency(now);
         let age = |at: Instant| now.saturating_duration_since(at);
@@ -374,7 +384,7 @@
         }
     }
 
-    /// Returns the mean latency, or zero for "unknown" if the last sample is old: a server that was
+    /// Returns the mean latency, or zero for "unknown" if the last sample is old. A server that was
     /// slow must get requests again to show that it has recovered.
     fn recent_latency(&self, now: Instant) -> Duration {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < LATENCY_MAX_AGE;
@@ -396,11 +406,11 @@
 
     /// Returns the limit that applies while the server is neither ejected nor suspected.
     fn limit_when_admitted(&self) -> u32 {
-        if self.view.is_drained {
+        if self.status.is_drained {
             return 0;
         }
-        let limit = match (self.view.record.stage, &self.ramp) {
-            (ServerStage::Warm, _) => u32::from(self.view.record.announcement.slots),
+        let limit = match (self.status.record.stage, &self.ramp) {
+            (ServerStage::Warm, _) => u32::from(self.status.record.announcement.slots),
             (ServerStage::Cold, Some(ramp)) => ramp.limit(),
             (ServerStage::Cold, None) | (ServerStage::Leaving, _) => 0,
         };
@@ -408,15 +418,16 @@
     }
 
     fn picked(&self) -> PickedServer {
-        let announcement = &self.view.record.announcement;
+        let announcement = &self.status.record.announcement;
         PickedServer {
             name: announcement.server.clone(),
             address: announcement.address,
             incarnation: announcement.incarnation,
-            owner: self.view.owner.clone(),
+            owner: self.status.owner.clone(),
         }
     }
 
+    /// Records the end of a request. The result leaves `is_slow` false.
     fn record_end(
         &mut self,
         outcome: AttemptOutcome,
@@ -459,14 +470,14 @@
         if self.is_suspected(now) {
             return None;
         }
-        let known = self.view.record.announcement.incarnation;
+        let known = self.status.record.announcement.incarnation;
         if report.is_leaving {
             return Some(SuspectKind::Leaving);
         }
         if report.incarnation.is_some_and(|incarnation| incarnation != known) {
             return Some(SuspectKind::Restarted);
         }
-        let is_warm = self.view.record.stage == ServerStage::Warm;
+        let is_warm = self.status.record.stage == ServerStage::Warm;
         match outcome {
             AttemptOutcome::Unreachable if is_warm => Some(SuspectKind::Unreachable),
             AttemptOutcome::Broken if is_warm => Some(SuspectKind::Restarted),
@@ -475,8 +486,8 @@
     }
 }
 
-/// Returns the expected wait of a request queued behind `waiting` others, given the number of
-/// concurrent requests and their mean latency.
+/// Returns the expected wait of a request queued behind `waiting` others, given the maximum number
+/// of concurrent requests (`capacity`) and their mean latency.
 pub fn expected_wait(waiting: usize, capacity: u32, latency: Duration) -> Duration {
     latency.mul_f64((waiting + 1) as f64 / f64::from(capacity.max(1)))
 }
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -1,14 +1,15 @@
-//! Limits over time: retry and probe budgets, slow start and the freshness gate.
+//! Limits over time: retry and probe budgets, the warm-up ramp and the freshness gate.
 
-use hawthornhill_policy::{ColdRamp, FreshnessGate, ProbeBudget, RetryBudget};
+use hawthornhill_policy::{FreshnessGate, ProbeBudget, RetryBudget, WarmUpRamp};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A burst of failures must not let retries exceed their percentage of the requests, apart from
-    /// the one attempt that a new budget holds.
+    /// Guards against a burst of failures that causes too many retries. Counted from the creation
+    /// of a budget, retries exceed their percentage of the requests by at most the one attempt that
+    /// a new budget holds.
     #[test]
     fn retries_stay_within_their_percentage(percent in 0..=100_u8, requests in 1..5_000_u32) {
         let mut budget = RetryBudget::new(percent);
@@ -20,8 +21,8 @@
         prop_assert!(granted * 100 <= requests * u32::from(percent) + 100);
     }
 
-    /// A change of owner starts a new budget. The probes of one server must not exceed the rate in
-    /// any window of a minute, whenever the owner changes.
+    /// Guards against too many probes after a change of shard owner, which starts a new budget: the
+    /// probes of one server must not exceed the rate in any window of a minute.
     #[test]
     fn probes_stay_within_their_rate_when_the_owner_changes(
         rate in 1..600_u16, changes in proptest::collection::vec(0..60_000_u64, 0..8)
@@ -47,7 +48,7 @@
 
 #[test]
 fn ramp_reaches_all_slots_and_starts_over_after_a_failure() {
-    let mut ramp = ColdRamp::new(1, 3);
+    let mut ramp = WarmUpRamp::new(1, 3);
     let mut successes = 0;
     while !ramp.record_success() {
         successes += 1;
@@ -57,7 +58,7 @@
     assert!(successes <= 24);
     ramp.record_failure();
     assert_eq!(ramp.limit(), 1);
-    let mut large = ColdRamp::new(1, 256);
+    let mut large = WarmUpRamp::new(1, 256);
     let successes = (0..1_000).take_while(|_| !large.record_success()).count();
     assert!(successes < 150, "{successes} successes to reach 256 slots");
 }
--- a/crates/testkit/examples/bench_selection.rs
+++ b/crates/testkit/examples/bench_selection.rs
@@ -1,5 +1,5 @@
-//! Compares server selectors in the selection code of real pools (`policy::ServiceLoad`), with fake
-//! servers over sockets, in several interleaved rounds.
+//! Compares server selectors in the selection code of real pools (`policy::ServiceBalancer`), with
+//! fake servers over sockets, in several interleaved rounds.
 //!
 //! Run: `cargo run --release -p hawthornhill-testkit --example bench_selection`
 
@@ -10,8 +10,8 @@
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
 use policy::{
-    AttemptOutcome, LatencySelector, LoadSettings, PickResult, ServerReport, ServerSelector,
-    ServerView, ServiceLoad,
+    AttemptOutcome, BalancerSettings, LatencySelector, PickResult, ServerReport, ServerSelector,
+    ServerStatus, ServiceBalancer,
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use std::{
@@ -59,12 +59,12 @@
 
 /// One entry's pool, with a queue of requests that wait for free capacity.
 struct EntryPool {
-    load: Mutex<(ServiceLoad, VecDeque<oneshot::Sender<()>>, SmallRng)>,
+    load: Mutex<(ServiceBalancer, VecDeque<oneshot::Sender<()>>, SmallRng)>,
 }
 
 impl EntryPool {
     fn new(selector: Arc<dyn ServerSelector>, servers: &[FakeServer], seed: u64) -> Self {
-        let mut load = ServiceLoad::new(LoadSettings {
+        let mut load = ServiceBalancer::new(BalancerSettings {
             cold_concurrency: 1,
             max_ejected_percent: 50,
             selector,
@@ -114,7 +114,7 @@
     }
 }
 
-fn server_view(server: &FakeServer) -> ServerView {
+fn server_view(server: &FakeServer) -> ServerStatus {
     let announcement = Announcement {
         server: server.name().clone(),
         service: "s".parse().expect("valid"),
@@ -127,7 +127,7 @@
     };
     let record = ServerRecord { announcement, stage: ServerStage::Warm };
     let owner = "e".parse().expect("valid");
-    ServerView { record, owner, may_warm: false, is_drained: false }
+    ServerStatus { record, owner, may_warm: false, is_drained: false }
 }
 
 async fn start_servers(size: &ServiceSize) -> Vec<FakeServer> {
