--- a/crates/types/examples/bench_state.rs
+++ b/crates/types/examples/bench_state.rs
@@ -10,8 +10,10 @@
 use std::time::Instant;
 use uuid::Uuid;
 
+/// Returns the resident set size of this process in KiB.
 fn resident_kb() -> f64 {
-    let text = std::fs::read_to_string("/proc/self/status").expect("linux");
+    let text =
+        std::fs::read_to_string("/proc/self/status").expect("read /proc/self/status (Linux only)");
     let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or_default();
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).unwrap_or(0.0)
 }
--- a/crates/types/src/call.rs
+++ b/crates/types/src/call.rs
@@ -76,7 +76,7 @@
     pub status: u16,
     /// Whether the request was executed.
     pub outcome: CallOutcome,
-    /// Header fields of the server, or those that the entry adds.
+    /// Header fields of the server's answer, or those that the entry adds.
     pub headers: Vec<HeaderField>,
     /// The complete body.
     pub body: Vec<u8>,
--- a/crates/types/src/claim.rs
+++ b/crates/types/src/claim.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use uuid::{Uuid, Version};
 
-/// Maximum age of a key for which a claim is accepted, in milliseconds.
+/// Maximum age of a key for which a new claim is accepted, in milliseconds.
 pub const CLAIM_RETENTION_MS: u64 = 300_000;
 /// Maximum number of milliseconds by which the time in a key may be ahead of the log's time.
 pub const CLOCK_SKEW_LIMIT_MS: u64 = 10_000;
@@ -54,7 +54,7 @@
 /// Requests the exclusive right to send a request to a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The request.
+    /// Identifies the request.
     pub key: ClaimKey,
     /// CRC-32 of method, path and body, to detect another request with the same key.
     pub digest: u32,
@@ -64,10 +64,10 @@
     pub entry: EntryName,
 }
 
-/// Releases the claim of an attempt that sent no byte.
+/// Releases the claim of an attempt that sent nothing to a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRelease {
-    /// The request.
+    /// Identifies the request.
     pub key: ClaimKey,
     /// The released attempt, which is never granted afterwards.
     pub attempt: AttemptId,
@@ -76,9 +76,9 @@
 /// Records that a claimed request was run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimResult {
-    /// The request.
+    /// Identifies the request.
     pub key: ClaimKey,
-    /// The attempt that ran it.
+    /// The attempt that ran the request.
     pub attempt: AttemptId,
     /// HTTP status of the server's answer.
     pub status: u16,
@@ -100,7 +100,8 @@
     OtherRequest,
     /// This attempt was released.
     Released,
-    /// The time in the key is more than [`CLAIM_RETENTION_MS`] behind the log's time.
+    /// The key has no stored claim, and its time is more than [`CLAIM_RETENTION_MS`] behind the
+    /// log's time.
     TooOld,
     /// The time in the key is more than [`CLOCK_SKEW_LIMIT_MS`] ahead of the log's time.
     TooNew,
--- a/crates/types/src/registry.rs
+++ b/crates/types/src/registry.rs
@@ -9,7 +9,7 @@
 )]
 pub struct RegistryVersion(pub u64);
 
-/// The load that a server may receive.
+/// Which entries may send requests to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServerStage {
@@ -26,7 +26,7 @@
 pub struct ServerRecord {
     /// The latest announcement of the server.
     pub announcement: Announcement,
-    /// The load that it may receive.
+    /// Which entries may send requests to the server.
     pub stage: ServerStage,
 }
 
@@ -80,7 +80,8 @@
     pub version: RegistryVersion,
 }
 
-/// Reports to a shard owner that another entry suspects a server of being cold, slow or dead.
+/// Reports to a shard owner that another entry suspects that a server has restarted, is leaving or
+/// is unreachable.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
     /// The server.
@@ -99,6 +100,6 @@
     Restarted,
     /// The server declared that it is leaving.
     Leaving,
-    /// The server refused a connection.
+    /// A connection was refused or could not be opened, or a probe was not answered in time.
     Unreachable,
 }
--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -72,7 +72,7 @@
     pub is_idempotent: bool,
     /// Timeout of a request, in milliseconds.
     pub timeout_ms: u32,
-    /// Target latency, in milliseconds. An answer within this time has its full value.
+    /// Target latency, in milliseconds. A later answer has less value for the caller.
     pub target_ms: u32,
     /// Priority; 0 is the highest.
     pub priority: u8,
@@ -197,11 +197,12 @@
             older.routes.iter().map(|r| (r.match_key(), r)).collect();
         let match_keys: BTreeSet<_> = self.routes.iter().map(|route| route.match_key()).collect();
         let is_removed = |match_key: &&(Arc<str>, Arc<str>)| !match_keys.contains(*match_key);
-        let is_new = |route: &&Arc<RouteSpec>| older_routes.get(&route.match_key()) != Some(route);
+        let is_new_or_changed =
+            |route: &&Arc<RouteSpec>| older_routes.get(&route.match_key()) != Some(route);
         RoutingPatch {
             version: self.version,
             removed: older_routes.keys().filter(is_removed).cloned().collect(),
-            put: self.routes.iter().filter(is_new).cloned().collect(),
+            put: self.routes.iter().filter(is_new_or_changed).cloned().collect(),
             pools: (self.pools != older.pools).then(|| self.pools.clone()),
             limits: (self.limits != older.limits).then(|| self.limits.clone()),
         }
@@ -238,7 +239,7 @@
         (self.host.clone(), self.prefix.clone())
     }
 
-    /// Returns the target latency. An answer within this time has its full value.
+    /// Returns the target latency. A later answer has less value for the caller.
     pub fn target(&self) -> Duration {
         Duration::from_millis(self.target_ms.into())
     }
--- a/crates/types/src/server_info.rs
+++ b/crates/types/src/server_info.rs
@@ -8,7 +8,8 @@
 /// Maximum number of slots that a server may announce.
 const MAX_SLOTS: u16 = 4096;
 
-/// Number that a server generates or increments at each start.
+/// Number that a server generates at each start, or increments; it must be higher than at the
+/// previous start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerIncarnation(pub u64);
 
@@ -38,7 +39,7 @@
     pub domain: DomainName,
     /// Maximum number of concurrent requests when warm.
     pub slots: u16,
-    /// Increases with each start of the server.
+    /// Identifies the current run of the server.
     pub incarnation: ServerIncarnation,
     /// Increases with each announcement of one incarnation, so that a delayed one is detected.
     #[serde(default)]
--- a/crates/types/src/state.rs
+++ b/crates/types/src/state.rs
@@ -72,9 +72,12 @@
 /// The decision on an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnnounceDecision {
-    /// The server is registered. One that is registered as leaving stays so until it restarts.
+    /// The server is registered. A server that is registered as leaving keeps that state until it
+    /// restarts.
     Registered,
-    /// The announcement is older than the registered data and changes nothing.
+    /// The announcement is outdated and changes nothing: the registered one is at least as new, this
+    /// or a later incarnation has departed, or another server with the same or a higher incarnation
+    /// is registered at the same address.
     Stale,
     /// The service, address or domain differs from an earlier announcement of the same incarnation.
     Contradicts,
@@ -117,12 +120,19 @@
 pub struct ClusterState {
     time: LogTime,
     view: ClusterView,
+    /// The latest changes of the view, oldest first; at most [`VIEW_LOG_LIMIT`].
     recent: VecDeque<ViewChange>,
+    /// Digests and answers of decided changes, kept to answer resends.
     decided: BTreeMap<ChangeId, (ChangeDigest, ChangeAnswer)>,
+    /// The ids in `decided`, oldest first.
     decided_order: VecDeque<ChangeId>,
     claims: BTreeMap<ClaimKey, ClaimRecord>,
+    /// Expiry index: for each claim the time in its key, in milliseconds since the Unix epoch, and
+    /// the key.
     expiry: BTreeSet<(u64, ClaimKey)>,
+    /// Departed servers with the incarnation that departed.
     departed: BTreeMap<ServerName, ServerIncarnation>,
+    /// The names in `departed`, oldest first.
     departed_order: VecDeque<ServerName>,
     routing_source: SourceText,
 }
@@ -148,7 +158,7 @@
         self.claims.len()
     }
 
-    /// Returns what an entry at `version` needs to reach the current view.
+    /// Returns the update that brings an entry from `version` to the current view.
     pub fn update_since(&self, version: ViewVersion) -> ViewUpdate {
         let changes = self.changes_since(version).map(ViewUpdate::Changes);
         changes.unwrap_or_else(|| ViewUpdate::Whole(Box::new(self.view.clone())))
@@ -179,7 +189,7 @@
                 CommandAnswer::Routing(self.put_routing(document, source))
             }
             Command::SetDrain(domain, is_drained) => self.set_drain(domain, *is_drained),
-            Command::Announce(server) => CommandAnswer::Announce(self.announce(server)),
+            Command::Announce(announcement) => CommandAnswer::Announce(self.announce(announcement)),
             Command::Depart(server) => self.depart(server),
             Command::Expire(server, incarnation) => self.expire(server, *incarnation),
         }
--- a/crates/types/src/state/claims.rs
+++ b/crates/types/src/state/claims.rs
@@ -10,15 +10,21 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum ClaimStage {
+    /// No attempt holds the claim.
     Free,
+    /// The attempt may send the request.
     Held(AttemptId),
+    /// The attempt ran the request; with the HTTP status of the server's answer.
     Ran(AttemptId, u16),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ClaimRecord {
+    /// Digest of the claimed request, set again by each grant of a free claim; 0 if the release
+    /// arrived before the claim.
     pub(super) digest: u32,
     pub(super) stage: ClaimStage,
+    /// Attempts that are never granted again.
     pub(super) released: SmallVec<[AttemptId; 1]>,
 }
 
--- a/crates/types/src/state/servers.rs
+++ b/crates/types/src/state/servers.rs
@@ -19,6 +19,7 @@
         {
             return decision;
         }
+        // A newer server at the same address replaces the earlier one, whose process has ended.
         let same_address =
             self.view.servers().find(|registered| registered.address == announcement.address);
         if let Some(registered) = same_address.filter(|registered| registered.server != *name) {
@@ -45,6 +46,7 @@
         server: &ServerName,
         incarnation: ServerIncarnation,
     ) -> CommandAnswer {
+        // Not recorded as departed, so that the same incarnation may register again.
         if self.view.has_server(server, incarnation) {
             self.change_view(ViewChange::RemoveServer(server.clone()));
         }
--- a/crates/types/src/view.rs
+++ b/crates/types/src/view.rs
@@ -30,10 +30,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RangeIndex(pub u8);
 
-/// The lease of a range.
+/// Lease of a range by the entry that manages the servers in the range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeLease {
-    /// The entry that manages the servers in the range.
+    /// The entry that holds the lease.
     pub owner: EntryName,
     /// The version of the view that assigned the range to this owner.
     pub since: ViewVersion,
@@ -230,8 +230,8 @@
                 let patched = self.routing.as_ref().map(|routing| routing.patched(patch));
                 self.routing = patched.map(Arc::new);
             }
-            ViewChange::PutServer(server) => {
-                self.servers.insert(server.server.clone(), server.clone());
+            ViewChange::PutServer(announcement) => {
+                self.servers.insert(announcement.server.clone(), announcement.clone());
             }
             ViewChange::RemoveServer(name) => {
                 self.servers.remove(name);
--- a/crates/types/tests/routing.rs
+++ b/crates/types/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing documents and the registry of servers.
+//! Routing documents, the registry of servers and drains.
 
 use hawthornhill_types::{
     AnnounceDecision, Announcement, CallerLimits, ClusterState, ClusterView, Command,
@@ -125,22 +125,22 @@
 
 #[test]
 fn invalid_documents_are_refused_with_the_route_named() {
-    let change = |edit: fn(&mut RouteSpec)| {
+    let verify_edited = |edit: fn(&mut RouteSpec)| {
         let mut route = route("a", "/a/", "desk");
         edit(&mut route);
         document(1, vec![route]).verify()
     };
     let name = || Arc::from("a");
-    assert_eq!(change(|_| ()), Ok(()));
-    assert_eq!(change(|r| r.parts[0].weight = 0), Err(RoutingError::NoWeight(name())));
-    assert_eq!(change(|r| r.parts.clear()), Err(RoutingError::NoWeight(name())));
-    assert_eq!(change(|r| r.max_attempts = 0), Err(RoutingError::NoAttempts(name())));
-    assert_eq!(change(|r| r.prefix = "a/".into()), Err(RoutingError::InvalidPrefix(name())));
-    assert_eq!(change(|r| r.timeout_ms = 0), Err(RoutingError::NoTimeout(name())));
+    assert_eq!(verify_edited(|_| ()), Ok(()));
+    assert_eq!(verify_edited(|r| r.parts[0].weight = 0), Err(RoutingError::NoWeight(name())));
+    assert_eq!(verify_edited(|r| r.parts.clear()), Err(RoutingError::NoWeight(name())));
+    assert_eq!(verify_edited(|r| r.max_attempts = 0), Err(RoutingError::NoAttempts(name())));
+    assert_eq!(verify_edited(|r| r.prefix = "a/".into()), Err(RoutingError::InvalidPrefix(name())));
+    assert_eq!(verify_edited(|r| r.timeout_ms = 0), Err(RoutingError::NoTimeout(name())));
     let unknown = document(1, vec![route("a", "/a/", "nobody")]).verify();
     assert!(matches!(unknown, Err(RoutingError::UnknownService { .. })));
-    let twice = document(1, vec![route("a", "/a/", "desk"), route("b", "/a/", "desk")]);
-    assert!(matches!(twice.verify(), Err(RoutingError::DuplicateRoute { .. })));
+    let duplicate = document(1, vec![route("a", "/a/", "desk"), route("b", "/a/", "desk")]);
+    assert!(matches!(duplicate.verify(), Err(RoutingError::DuplicateRoute { .. })));
 }
 
 #[test]
--- a/crates/types/tests/state.rs
+++ b/crates/types/tests/state.rs
@@ -83,8 +83,8 @@
 fn service_held_by_another_team_is_refused_and_its_holder_named() {
     let mut state = ClusterState::default();
     decide(&mut state, &change(1, 0, ChangeAction::Document(document("a", &["s", "t"], 10))));
-    let claim = change(2, 0, ChangeAction::Document(document("b", &["s"], 10)));
-    let answer = decide(&mut state, &claim);
+    let conflicting = change(2, 0, ChangeAction::Document(document("b", &["s"], 10)));
+    let answer = decide(&mut state, &conflicting);
     let team = "a".parse().expect("valid");
     assert!(
         matches!(&answer, ChangeAnswer::Refused { kind, .. } if *kind == RefusalKind::ServiceHeld { team })
@@ -284,9 +284,9 @@
                 }
                 _ => {
                     let team = format!("t{which}");
-                    let services = document(&team, &[&format!("s{which}")], 5);
-                    let expected = state.view().document_version(&services.team).0;
-                    let action = ChangeAction::Document(services);
+                    let team_document = document(&team, &[&format!("s{which}")], 5);
+                    let expected = state.view().document_version(&team_document.team).0;
+                    let action = ChangeAction::Document(team_document);
                     Command::Change(change(number as u128, expected, action))
                 }
             };
