--- a/crates/types/src/state.rs
+++ b/crates/types/src/state.rs
@@ -75,9 +75,9 @@
     /// The server is registered. A server that is registered as leaving keeps that state until it
     /// restarts.
     Registered,
-    /// The announcement is outdated and changes nothing: the registered one is at least as new, this
-    /// or a later incarnation has departed, or another server with the same or a higher incarnation
-    /// is registered at the same address.
+    /// The announcement is outdated and changes nothing: the registered one is at least as new,
+    /// this or a later incarnation has departed, or another server with the same or a higher
+    /// incarnation is registered at the same address.
     Stale,
     /// The service, address or domain differs from an earlier announcement of the same incarnation.
     Contradicts,
--- a/crates/types/src/view.rs
+++ b/crates/types/src/view.rs
@@ -37,7 +37,7 @@
     pub owner: EntryName,
     /// The version of the view that assigned the range to this owner.
     pub since: ViewVersion,
-    /// Whether the range had no owner before.
+    /// Whether the range never had an owner before.
     pub is_first: bool,
 }
 
--- a/crates/types/tests/state.rs
+++ b/crates/types/tests/state.rs
@@ -60,12 +60,12 @@
     let mut state = ClusterState::default();
     let first = change(1, 0, ChangeAction::Document(document("a", &["s"], 10)));
     let next = change(2, 1, ChangeAction::Document(document("a", &["s"], 20)));
-    let late = change(3, 0, ChangeAction::Document(document("a", &["s"], 30)));
+    let conflicting = change(3, 0, ChangeAction::Document(document("a", &["s"], 30)));
     assert_eq!(decide(&mut state, &first), accepted(1));
     assert_eq!(decide(&mut state, &next), accepted(2));
-    let refused = decide(&mut state, &late);
+    let refused = decide(&mut state, &conflicting);
     assert_eq!(decide(&mut state, &first), accepted(1), "the resend is not applied again");
-    assert_eq!(decide(&mut state, &late), refused);
+    assert_eq!(decide(&mut state, &conflicting), refused);
     let spec = state.view().service(&"s".parse().expect("valid")).expect("declared");
     assert_eq!(spec.timeout_ms, 20, "the resend did not revert the later change");
 }
