--- a/crates/types/src/server_info.rs
+++ b/crates/types/src/server_info.rs
@@ -8,8 +8,8 @@
 /// Maximum number of slots that a server may announce.
 const MAX_SLOTS: u16 = 4096;
 
-/// Number that a server generates at each start, or increments; it must be higher than at the
-/// previous start.
+/// Number that a server generates or increments at each start. Must be higher than at the previous
+/// start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerIncarnation(pub u64);
 
--- a/crates/types/src/state.rs
+++ b/crates/types/src/state.rs
@@ -130,7 +130,8 @@
     /// Expiry index: for each claim the time in its key, in milliseconds since the Unix epoch, and
     /// the key.
     expiry: BTreeSet<(u64, ClaimKey)>,
-    /// Departed servers with the incarnation that departed.
+    /// Servers that departed or were replaced by another at their address, with the incarnation that
+    /// was removed.
     departed: BTreeMap<ServerName, ServerIncarnation>,
     /// The names in `departed`, oldest first.
     departed_order: VecDeque<ServerName>,
