--- a/crates/types/src/state.rs
+++ b/crates/types/src/state.rs
@@ -130,8 +130,8 @@
     /// Expiry index: for each claim the time in its key, in milliseconds since the Unix epoch, and
     /// the key.
     expiry: BTreeSet<(u64, ClaimKey)>,
-    /// Servers that departed or were replaced by another at their address, with the incarnation that
-    /// was removed.
+    /// Servers that departed or were replaced by another at their address, with the removed
+    /// incarnation.
     departed: BTreeMap<ServerName, ServerIncarnation>,
     /// The names in `departed`, oldest first.
     departed_order: VecDeque<ServerName>,
