--- a/crates/types/tests/state.rs
+++ b/crates/types/tests/state.rs
@@ -60,12 +60,12 @@
     let mut state = ClusterState::default();
     let first = change(1, 0, ChangeAction::Document(document("a", &["s"], 10)));
     let next = change(2, 1, ChangeAction::Document(document("a", &["s"], 20)));
-    let late = change(3, 0, ChangeAction::Document(document("a", &["s"], 30)));
+    let conflicting = change(3, 0, ChangeAction::Document(document("a", &["s"], 30)));
     assert_eq!(decide(&mut state, &first), accepted(1));
     assert_eq!(decide(&mut state, &next), accepted(2));
-    let refused = decide(&mut state, &late);
+    let refused = decide(&mut state, &conflicting);
     assert_eq!(decide(&mut state, &first), accepted(1), "the resend is not applied again");
-    assert_eq!(decide(&mut state, &late), refused);
+    assert_eq!(decide(&mut state, &conflicting), refused);
     let spec = state.view().service(&"s".parse().expect("valid")).expect("declared");
     assert_eq!(spec.timeout_ms, 20, "the resend did not revert the later change");
 }
@@ -83,8 +83,8 @@
 fn service_held_by_another_team_is_refused_and_its_holder_named() {
     let mut state = ClusterState::default();
     decide(&mut state, &change(1, 0, ChangeAction::Document(document("a", &["s", "t"], 10))));
-    let claim = change(2, 0, ChangeAction::Document(document("b", &["s"], 10)));
-    let answer = decide(&mut state, &claim);
+    let conflicting = change(2, 0, ChangeAction::Document(document("b", &["s"], 10)));
+    let answer = decide(&mut state, &conflicting);
     let team = "a".parse().expect("valid");
     assert!(
         matches!(&answer, ChangeAnswer::Refused { kind, .. } if *kind == RefusalKind::ServiceHeld { team })
@@ -284,9 +284,9 @@
                 }
                 _ => {
                     let team = format!("t{which}");
-                    let services = document(&team, &[&format!("s{which}")], 5);
-                    let expected = state.view().document_version(&services.team).0;
-                    let action = ChangeAction::Document(services);
+                    let team_document = document(&team, &[&format!("s{which}")], 5);
+                    let expected = state.view().document_version(&team_document.team).0;
+                    let action = ChangeAction::Document(team_document);
                     Command::Change(change(number as u128, expected, action))
                 }
             };
