--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -67,7 +67,7 @@
         histogram
     }
 
-    /// Returns all metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format, or an empty text if encoding fails.
     pub fn page(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry.lock()) {
--- a/crates/runtime/src/timer.rs
+++ b/crates/runtime/src/timer.rs
@@ -11,10 +11,13 @@
 };
 use tokio::sync::{Notify, mpsc};
 
+/// Maximum wait of the timer task if there are no subscriptions.
+const MAX_IDLE_WAIT: Duration = Duration::from_secs(1);
+
 /// Returns the wall clock in milliseconds since the Unix epoch.
 pub fn wall_clock_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_millis() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_millis() as u64
 }
 
 #[derive(Debug)]
@@ -25,7 +28,8 @@
 
 #[derive(Debug, Default)]
 struct TimerTable {
-    /// Subscriptions; `None` once the subscriber has dropped its end.
+    /// Subscriptions by index; `None` once a tick could not be sent because the subscription was
+    /// dropped.
     slots: Vec<Option<TimerSlot>>,
     /// Time of each slot's next tick, earliest first.
     deadlines: BinaryHeap<Reverse<(Instant, usize)>>,
@@ -100,8 +104,7 @@
 async fn run_timers(table: Arc<Mutex<TimerTable>>, changed: Arc<Notify>) {
     loop {
         let next = table.lock().fire(now());
-        let wait = next
-            .map_or(Duration::from_secs(1), |deadline| deadline.saturating_duration_since(now()));
+        let wait = next.map_or(MAX_IDLE_WAIT, |deadline| deadline.saturating_duration_since(now()));
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
             () = changed.notified() => {}
--- a/crates/server/src/guarded_stream.rs
+++ b/crates/server/src/guarded_stream.rs
@@ -1,8 +1,8 @@
 //! A TCP stream that calls a guard before it writes the first byte of each request.
 //!
-//! The check runs directly before the write to the socket, after all queues of the HTTP library, so
+//! The guard runs directly before the write to the socket, after all queues of the HTTP library, so
 //! that a process that was suspended at any earlier point sends only if the guard still allows it.
-//! The gate also records whether a write was started, so that a request that fails earlier is known
+//! [`SendGate`] also records whether a write was started, so that a request that fails earlier is known
 //! not to have been sent.
 
 use crate::StartGuard;
