--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -69,15 +69,17 @@
     pub key_folder: PathBuf,
     /// Address for connections from other processes (QUIC over UDP).
     pub peer_address: SocketAddr,
-    /// Address for callers (HTTP); needed for the entry role.
+    /// Address for callers (HTTP). Needed for the entry role, which publishes this address: the
+    /// default has port 0.
     #[serde(default = "loopback_any")]
     pub caller_address: SocketAddr,
-    /// Address for announcements of servers (HTTP); needed for the entry role.
+    /// Address for announcements of servers (HTTP). Needed for the entry role, which publishes this
+    /// address: the default has port 0.
     #[serde(default = "loopback_any")]
     pub server_address: SocketAddr,
     /// Address for operators (HTTPS with client certificates).
     pub operator_address: SocketAddr,
-    /// Address of the metrics page (HTTP).
+    /// Address of the metrics page (HTTP); by default a free port of 127.0.0.1.
     #[serde(default = "loopback_any")]
     pub metrics_address: SocketAddr,
     /// Replicas that an entry contacts first; they send it the addresses of the others.
--- a/crates/runtime/tests/runtime.rs
+++ b/crates/runtime/tests/runtime.rs
@@ -52,8 +52,8 @@
     let mut seen = Vec::new();
     for _ in 0..7 {
         tokio::select! {
-            at = fast.tick() => seen.push(("fast", at.expect("runs") - start)),
-            at = slow.tick() => seen.push(("slow", at.expect("runs") - start)),
+            at = fast.tick() => seen.push(("fast", at.expect("the timer service runs") - start)),
+            at = slow.tick() => seen.push(("slow", at.expect("the timer service runs") - start)),
         }
     }
     let times = |name| -> Vec<u128> {
@@ -68,9 +68,9 @@
     let timers = TimerService::start();
     let mut ticks = timers.subscribe(Duration::from_millis(10));
     tokio::time::sleep(Duration::from_millis(1_005)).await;
-    ticks.tick().await.expect("runs");
+    ticks.tick().await.expect("the timer service runs");
     let before = tokio::time::Instant::now();
-    ticks.tick().await.expect("runs");
+    ticks.tick().await.expect("the timer service runs");
     assert!(before.elapsed() <= Duration::from_millis(11), "at most one tick is queued");
     assert!(before.elapsed() > Duration::ZERO, "missed ticks are not queued");
 }
