--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -10,8 +10,8 @@
 use history::{CallRecord, ObservedHistory, ServerDeparture, stale_read};
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 use stand_in::{
-    BOOT_VARIABLE, BootFileFields, CallKind, CallOutcome, FaultyProxy, ProxyFault, ServerMode,
-    SimulatedServer, SiteCaller, SiteOperator, SitePorts,
+    BOOT_VARIABLE, BootFileFields, CallKind, CallOutcome, ControlClient, FaultyProxy, ProxyFault,
+    ServerMode, SimulatedServer, SiteCaller, SitePorts,
 };
 use std::{
     collections::HashMap,
@@ -130,7 +130,7 @@
 struct SoakSystem {
     processes: Vec<SoakProcess>,
     servers: Vec<(Arc<SimulatedServer>, Arc<FaultyProxy>)>,
-    operator: SiteOperator,
+    operator: ControlClient,
     entries: Vec<SocketAddr>,
     calls: Arc<Mutex<HashMap<String, CallRecord>>>,
     acknowledged: Arc<AtomicU64>,
@@ -168,7 +168,7 @@
             process.start()?;
             processes.push(process);
         }
-        let operator = SiteOperator { replicas: seeds, port: ports.control };
+        let operator = ControlClient { replicas: seeds, port: ports.control };
         let mut servers = Vec::new();
         for number in 0..SERVERS {
             let domain = &domains[number % domains.len()];
