--- a/crates/server/src/guarded_stream.rs
+++ b/crates/server/src/guarded_stream.rs
@@ -2,8 +2,8 @@
 //!
 //! The guard runs directly before the write to the socket, after all queues of the HTTP library, so
 //! that a process that was suspended at any earlier point sends only if the guard still allows it.
-//! [`SendGate`] also records whether a write was started, so that a request that fails earlier is known
-//! not to have been sent.
+//! [`SendGate`] also records whether a write was started, so that a request that fails earlier is
+//! known not to have been sent.
 
 use crate::StartGuard;
 use hyper_util::rt::TokioIo;
--- a/crates/server/src/pool.rs
+++ b/crates/server/src/pool.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Takes the most recently used connection to `address` that is still usable. Drops
-    /// the unusable connections found before it.
+    /// Takes the most recently used connection to `address` that is still usable. Drops the
+    /// unusable connections found before it.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<IdleConnection> {
         let mut shard = self.shard(address).lock();
         let connections = shard.get_mut(&address)?;
