--- a/crates/caller/src/listener.rs
+++ b/crates/caller/src/listener.rs
@@ -58,8 +58,8 @@
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // Disables Nagle's algorithm, which would delay small answers. The connection also works
-            // if the option cannot be set.
+            // Disables Nagle's algorithm, which would delay small answers. The connection also
+            // works if the option cannot be set.
             let _ = stream.set_nodelay(true);
             let (handler, settings) = (self.handler.clone(), self.settings.clone());
             let counters = self.counters.clone();
