--- a/crates/server/src/pool.rs
+++ b/crates/server/src/pool.rs
@@ -53,7 +53,7 @@
     }
 
     /// Takes the most recently used connection to `address` that is still usable. Drops the
-    /// unusable ones that were used after it.
+    /// unusable connections found before it.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<IdleConnection> {
         let mut shard = self.shard(address).lock();
         let connections = shard.get_mut(&address)?;
