--- a/crates/ctl/src/change.rs
+++ b/crates/ctl/src/change.rs
@@ -16,9 +16,9 @@
 use uuid::Uuid;
 
 /// Pause between status checks while waiting for a change.
-const WAIT_PERIOD: Duration = Duration::from_millis(100);
+const STATUS_CHECK_PAUSE: Duration = Duration::from_millis(100);
 /// Maximum wait for a change to be in force at every entry.
-const WAIT_LIMIT: Duration = Duration::from_secs(14);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(14);
 
 /// JSON output for an accepted change.
 #[derive(Serialize)]
@@ -91,7 +91,8 @@
     submit_change(session, ChangeRequest { id, expected_version, action }, wait).await
 }
 
-/// Submits a change, prints the decision, and with `wait` waits until it is in force.
+/// Submits a change and prints the version that it was accepted as; a refusal is returned as an
+/// error. With `wait`, also waits until the change is in force at every entry.
 async fn submit_change(
     session: &OperatorSession,
     change: ChangeRequest,
@@ -121,7 +122,7 @@
 async fn wait_in_force(session: &OperatorSession) -> Result<(), CtlError> {
     let started = Instant::now();
     let mut target: Option<ViewVersion> = None;
-    while started.elapsed() < WAIT_LIMIT {
+    while started.elapsed() < IN_FORCE_TIMEOUT {
         if let Ok(page) = session.leader_status().await
             && let Some(replica) = page.replica
         {
@@ -136,10 +137,10 @@
             }
             eprintln!("in force at {current} of {total} entries");
         }
-        tokio::time::sleep(WAIT_PERIOD).await;
+        tokio::time::sleep(STATUS_CHECK_PAUSE).await;
     }
-    let limit_s = WAIT_LIMIT.as_secs();
-    Err(CtlError::Unreachable(format!("not in force at every entry after {limit_s} s")))
+    let timeout_s = IN_FORCE_TIMEOUT.as_secs();
+    Err(CtlError::Unreachable(format!("not in force at every entry after {timeout_s} s")))
 }
 
 fn read_document(file: &Path) -> Result<TeamDocument, CtlError> {
--- a/crates/ctl/src/replicas.rs
+++ b/crates/ctl/src/replicas.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 /// Time within which a new replica must catch up with the leader's log.
-const CATCH_UP_LIMIT: Duration = Duration::from_secs(60);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(60);
 /// Pause between attempts to promote a learner.
-const CATCH_UP_PAUSE: Duration = Duration::from_millis(200);
+const PROMOTION_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Carries out a command on the set of replicas.
 pub async fn run(session: &OperatorSession, command: &ReplicaCommand) -> Result<(), CtlError> {
@@ -32,7 +32,7 @@
     if members.is_empty() {
         return Err(CtlError::Usage("none of the endpoints is a replica".to_owned()));
     }
-    // No replica is bootstrapped unless each is empty or already belongs to this group.
+    // No replica is bootstrapped until every one is known to be empty or a member of this group.
     for (_, page) in &pages {
         check_group(page, &members)?;
     }
@@ -76,10 +76,10 @@
         let change = MembershipChange::Promote(id);
         match session.send::<_, ()>("/v1/membership", &change).await {
             Ok(()) => break,
-            Err(error @ CtlError::RefusedRequest(_)) if started.elapsed() > CATCH_UP_LIMIT => {
+            Err(error @ CtlError::RefusedRequest(_)) if started.elapsed() > CATCH_UP_TIMEOUT => {
                 return Err(error);
             }
-            Err(CtlError::RefusedRequest(_)) => tokio::time::sleep(CATCH_UP_PAUSE).await,
+            Err(CtlError::RefusedRequest(_)) => tokio::time::sleep(PROMOTION_RETRY_PAUSE).await,
             Err(error) => return Err(error),
         }
     }
--- a/crates/ctl/src/session.rs
+++ b/crates/ctl/src/session.rs
@@ -57,7 +57,7 @@
         Ok(Self { client, endpoints, json: arguments.json })
     }
 
-    /// Reads a page from the first process that answers.
+    /// Reads a page from the endpoints in turn until one succeeds. Returns the last error if all fail.
     pub async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         let mut last_error = CtlError::Unreachable("no endpoint given".to_owned());
         for endpoint in &self.endpoints {
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -102,7 +102,7 @@
         run(&all).await
     }
 
-    async fn server(&self, name: &str, service: &str, domain: &str) -> FakeServer {
+    async fn start_server(&self, name: &str, service: &str, domain: &str) -> FakeServer {
         let settings = FakeServerSettings {
             name: name.parse().expect("valid"),
             service: service.parse().expect("valid"),
@@ -186,11 +186,11 @@
 async fn only_valid_operator_certificates_are_accepted() {
     let fixture = CtlFixture::start().await;
     let endpoint = format!("host-1={}", fixture.settings[0].operator_address);
-    let foreign_issuer = KeyIssuer::open(&fixture.path("theirs")).expect("authority");
-    foreign_issuer.issue_operator("ana", 30, &fixture.path("stranger")).expect("issued");
+    let foreign_issuer = KeyIssuer::open(&fixture.path("foreign-authority")).expect("authority");
+    foreign_issuer.issue_operator("ana", 30, &fixture.path("foreign")).expect("issued");
     let issuer = KeyIssuer::open(&fixture.path("authority")).expect("authority");
     issuer.issue_operator("old", -1, &fixture.path("expired")).expect("issued");
-    for keys in ["host-2", "stranger", "expired"] {
+    for keys in ["host-2", "foreign", "expired"] {
         let keys = fixture.path(keys);
         let (code, output) =
             run(&["--key-folder", text(&keys), "--endpoint", &endpoint, "status"]).await;
@@ -218,9 +218,9 @@
     })
     .await;
     let client = HttpClient::default();
-    let first = fixture.server("zaloga-1", "zaloga", "kranj").await;
-    let second = fixture.server("zaloga-2", "zaloga", "celje").await;
-    let _najem = fixture.server("najem-1", "najem", "kranj").await;
+    let first = fixture.start_server("zaloga-1", "zaloga", "kranj").await;
+    let second = fixture.start_server("zaloga-2", "zaloga", "celje").await;
+    let _najem = fixture.start_server("najem-1", "najem", "kranj").await;
     let entries = [fixture.settings[0].caller_address, fixture.settings[1].caller_address];
 
     // The server of the bookings is cold, so an entry that does not own it forwards the booking to
