--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -105,8 +105,8 @@
     }
 }
 
-fn server_row(view: ServerStatus) -> ServerRow {
-    let ServerStatus { record, owner, .. } = view;
+fn server_row(status: ServerStatus) -> ServerRow {
+    let ServerStatus { record, owner, .. } = status;
     let owner: EntryName = owner;
     ServerRow {
         server: record.announcement.server,
--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -54,7 +54,7 @@
     replica: Option<ReplicaHandle>,
 }
 
-/// State that both roles use.
+/// State that the process has in either role.
 struct SiteParts {
     file: BootFile,
     settings: BootSettings,
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -168,9 +168,9 @@
             system.submit_action(1 + round, action)
         });
         let answers = join_three(changes).await;
-        let winners =
+        let accepted_count =
             answers.iter().filter(|answer| matches!(answer, ChangeAnswer::Accepted { .. })).count();
-        assert_eq!(winners, 1, "{answers:?}");
+        assert_eq!(accepted_count, 1, "{answers:?}");
     }
 }
 
--- a/crates/daemon/tests/history/mod.rs
+++ b/crates/daemon/tests/history/mod.rs
@@ -11,8 +11,8 @@
 pub struct CallRecord {
     /// Kind of the request.
     pub kind: CallKind,
-    /// Result of the call.
-    pub end: CallOutcome,
+    /// Outcome of the call.
+    pub outcome: CallOutcome,
 }
 
 /// A server whose leaving was acknowledged.
@@ -21,7 +21,7 @@
     /// Index of the server.
     pub server: usize,
     /// Time at which the server received the acknowledgement.
-    pub acknowledged: Instant,
+    pub acknowledged_at: Instant,
 }
 
 /// Everything that was observed of a system.
@@ -44,7 +44,7 @@
     pub fn violations(&self, drain_bound: Duration) -> Vec<String> {
         let calls = self.calls.iter().flat_map(|(id, call)| self.call_violations(id, call));
         let departures = self.departures.iter().flat_map(|departure| {
-            let limit = departure.acknowledged + drain_bound;
+            let limit = departure.acknowledged_at + drain_bound;
             let is_late = move |(server, time): &&(usize, Instant)| {
                 *server == departure.server && *time > limit
             };
@@ -64,7 +64,7 @@
         if is_order && count > 1 {
             violations.push(format!("order {id} ran {count} times"));
         }
-        let CallOutcome::Answered { status, is_signed, id: echoed, body } = &call.end else {
+        let CallOutcome::Answered { status, is_signed, id: echoed, body } = &call.outcome else {
             return violations;
         };
         if is_order && count > 0 && [408, 421, 429, 503].contains(status) {
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -20,7 +20,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornhill");
 
 /// Time after a drain or a departure from which a server must get no new request.
-const STOP_BOUND_MS: u64 = 3_000;
+const DRAIN_BOUND_MS: u64 = 3_000;
 
 /// Sends lookups to all entries in turn until `stop` is set. Returns the answers that are neither a
 /// complete success nor a refusal with the outcome `not-run`.
@@ -52,7 +52,7 @@
     let stop = AtomicBool::new(false);
     let scenario = async {
         assert!(matches!(system.drain("east", 0).await, ChangeAnswer::Accepted { .. }));
-        sleep_ms(STOP_BOUND_MS).await;
+        sleep_ms(DRAIN_BOUND_MS).await;
         let (before, other) = (east.stats().received, west.stats().received);
         sleep_ms(1_500).await;
         assert_eq!(east.stats().received, before, "new work after the bound");
@@ -77,7 +77,7 @@
     let stop = AtomicBool::new(false);
     let scenario = async {
         leaving.set_state(ServerState::Leaving).await;
-        sleep_ms(STOP_BOUND_MS).await;
+        sleep_ms(DRAIN_BOUND_MS).await;
         let before = leaving.stats().received;
         sleep_ms(1_500).await;
         assert_eq!(leaving.stats().received, before, "new work after the bound");
@@ -89,7 +89,7 @@
 }
 
 /// Returns the behaviour of a server that is cold for the given number of requests.
-fn cold(requests: u32) -> FakeBehaviour {
+fn cold_behaviour(requests: u32) -> FakeBehaviour {
     FakeBehaviour {
         cold_concurrency: 1,
         warm_up_requests: requests,
@@ -116,16 +116,16 @@
     }
 }
 
-/// A cold server that gets its initial limit of requests from each entry gets several times that
-/// limit.
+/// If each entry sent a cold server its initial limit of requests, the server would get several times
+/// that limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_together_do_not_overload_cold_servers() {
     let system = TestSystem::start(PROGRAM, 3, 3).await;
     // The ramp widens after eight successes, so a server that needs eight requests is warm by then.
     let servers = [
-        system.start_server_with("l-1", "look", "east", cold(8)).await,
-        system.start_server_with("l-2", "look", "west", cold(8)).await,
-        system.start_server_with("l-3", "look", "east", cold(8)).await,
+        system.start_server_with("l-1", "look", "east", cold_behaviour(8)).await,
+        system.start_server_with("l-2", "look", "west", cold_behaviour(8)).await,
+        system.start_server_with("l-3", "look", "east", cold_behaviour(8)).await,
     ];
     let is_warm = |servers: &[FakeServer]| {
         servers.iter().all(|server| server.stats().executions_since_start > 60)
@@ -139,7 +139,7 @@
     for server in &servers {
         server.set_state(ServerState::Ready).await;
     }
-    sleep_ms(STOP_BOUND_MS).await;
+    sleep_ms(DRAIN_BOUND_MS).await;
     let before: u64 = servers.iter().map(|server| server.stats().cold_overloads).sum();
     assert_eq!(before, 0);
     send_batches_until(&system, || is_warm(&servers)).await;
--- a/crates/daemon/tests/promises.rs
+++ b/crates/daemon/tests/promises.rs
@@ -7,6 +7,7 @@
 use stand_in::{CallKind, CallOutcome};
 use std::time::{Duration, Instant};
 
+/// Time after which a server whose departure was acknowledged must get no request.
 const DRAIN_BOUND: Duration = Duration::from_secs(2);
 
 fn answered(status: u16, id: &str) -> CallOutcome {
@@ -18,15 +19,15 @@
 /// that was refused, and one that ran but whose connection broke.
 fn valid_history(now: Instant) -> ObservedHistory {
     let mut history = ObservedHistory::default();
-    let mut add = |id: &str, kind, end, runs: usize| {
-        history.calls.insert(id.to_owned(), CallRecord { kind, end });
+    let mut add = |id: &str, kind, outcome, runs: usize| {
+        history.calls.insert(id.to_owned(), CallRecord { kind, outcome });
         history.runs.insert(id.to_owned(), vec![(1, now); runs]);
     };
     add("order", CallKind::Order, answered(200, "order"), 1);
     add("lookup", CallKind::Lookup, answered(200, "lookup"), 2);
     add("refused", CallKind::Order, answered(503, "refused"), 0);
     add("broken", CallKind::Order, CallOutcome::NoResponse, 1);
-    history.departures.push(ServerDeparture { server: 2, acknowledged: now });
+    history.departures.push(ServerDeparture { server: 2, acknowledged_at: now });
     history
 }
 
@@ -50,13 +51,13 @@
         }),
         ("a success without a server's signature", |history, _| {
             if let CallOutcome::Answered { is_signed, .. } =
-                &mut history.calls.get_mut("lookup").expect("present").end
+                &mut history.calls.get_mut("lookup").expect("present").outcome
             {
                 *is_signed = false;
             }
         }),
         ("the answer to", |history, _| {
-            history.calls.get_mut("lookup").expect("present").end = answered(200, "order");
+            history.calls.get_mut("lookup").expect("present").outcome = answered(200, "order");
         }),
         ("after it had left", |history, now| {
             let late = now + DRAIN_BOUND + Duration::from_millis(1);
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -133,7 +133,7 @@
     operator: SiteOperator,
     entries: Vec<SocketAddr>,
     calls: Arc<Mutex<HashMap<String, CallRecord>>>,
-    acknowledged: Arc<AtomicU64>,
+    acknowledged_version: Arc<AtomicU64>,
     departures: Vec<ServerDeparture>,
 }
 
@@ -185,7 +185,7 @@
             operator,
             entries,
             calls: Arc::default(),
-            acknowledged: Arc::default(),
+            acknowledged_version: Arc::default(),
             departures: Vec::new(),
         })
     }
@@ -193,7 +193,7 @@
     /// Applies the first configuration and waits until every entry serves lookups.
     async fn configure_and_wait(&self) {
         assert!(self.operator.put_configuration(1, Duration::from_secs(30)).await);
-        self.acknowledged.fetch_max(1, Ordering::SeqCst);
+        self.acknowledged_version.fetch_max(1, Ordering::SeqCst);
         self.wait_served(RECOVERY_BOUND, "at the start").await;
     }
 
@@ -204,8 +204,8 @@
         for (number, entry) in self.entries.iter().enumerate() {
             loop {
                 let id = format!("wait-{number}-{}", started.elapsed().as_micros());
-                let end = caller.send(*entry, CallKind::Lookup, &id).await;
-                if matches!(end, CallOutcome::Answered { status: 200, .. }) {
+                let outcome = caller.send(*entry, CallKind::Lookup, &id).await;
+                if matches!(outcome, CallOutcome::Answered { status: 200, .. }) {
                     break;
                 }
                 assert!(started.elapsed() < limit, "entry {number} does not serve {when}");
@@ -236,13 +236,14 @@
                         if rng.random_bool(0.5) { CallKind::Order } else { CallKind::Lookup };
                     let Some(entry) = entries.choose(&mut rng) else { return };
                     let id = format!("{number}-{count}");
-                    let end = caller.send(*entry, kind, &id).await;
-                    calls.lock().expect("not poisoned").insert(id, CallRecord { kind, end });
+                    let outcome = caller.send(*entry, kind, &id).await;
+                    calls.lock().expect("not poisoned").insert(id, CallRecord { kind, outcome });
                     sleep(Duration::from_millis(rng.random_range(5..40))).await;
                 }
             }));
         }
-        let (operator, acknowledged) = (self.operator.clone(), self.acknowledged.clone());
+        let (operator, acknowledged_version) =
+            (self.operator.clone(), self.acknowledged_version.clone());
         let finished = is_finished.clone();
         tasks.push(tokio::spawn(async move {
             for version in 2.. {
@@ -250,20 +251,21 @@
                     return;
                 }
                 if operator.put_configuration(version, Duration::from_secs(20)).await {
-                    acknowledged.fetch_max(version, Ordering::SeqCst);
+                    acknowledged_version.fetch_max(version, Ordering::SeqCst);
                 }
                 sleep(Duration::from_millis(300)).await;
             }
         }));
-        let (operator, acknowledged) = (self.operator.clone(), self.acknowledged.clone());
+        let (operator, acknowledged_version) =
+            (self.operator.clone(), self.acknowledged_version.clone());
         let finished = is_finished.clone();
         tasks.push(tokio::spawn(async move {
             while !finished.load(Ordering::SeqCst) {
-                let least = acknowledged.load(Ordering::SeqCst);
+                let expected_version = acknowledged_version.load(Ordering::SeqCst);
                 sleep(READ_BOUND).await;
                 for replica in 0..REPLICAS {
                     if let Some(version) = operator.read_version(replica).await {
-                        assert_eq!(stale_read(version, least), None);
+                        assert_eq!(stale_read(version, expected_version), None);
                     }
                 }
             }
@@ -277,7 +279,7 @@
         let server = rng.random_range(0..SERVERS);
         let proxy = &self.servers[server].1;
         let mut faulty_server = None;
-        let text = match rng.random_range(0..12) {
+        let description = match rng.random_range(0..12) {
             10 => {
                 let torn: Vec<u8> = (0..rng.random_range(1..40)).map(|_| rng.random()).collect();
                 let replica = &mut self.processes[rng.random_range(0..REPLICAS)];
@@ -351,7 +353,7 @@
             self.servers[server].0.set_mode(ServerMode::Healthy);
             self.servers[server].1.set_fault(ProxyFault::None);
         }
-        Ok(text)
+        Ok(description)
     }
 
     /// Checks the invariants that hold at any time.
@@ -379,16 +381,16 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let started = Instant::now();
     while started.elapsed() < fault_time {
-        let text = system.inject_fault(&mut rng).await.expect("the fault is injected");
-        println!("seed {seed}, {:.1} s: {text}", started.elapsed().as_secs_f64());
+        let description = system.inject_fault(&mut rng).await.expect("the fault is injected");
+        println!("seed {seed}, {:.1} s: {description}", started.elapsed().as_secs_f64());
         system.verify();
     }
     system.wait_served(RECOVERY_BOUND, "after the faults").await;
     // A server leaves after all faults have ended, when the drain bound holds without exception.
     let (server, _) = system.servers[0].clone();
-    let acknowledged = server.leave(&system.operator, Duration::from_secs(10)).await;
-    let acknowledged = acknowledged.expect("leaving is acknowledged");
-    system.departures.push(ServerDeparture { server: 0, acknowledged });
+    let acknowledged_at = server.leave(&system.operator, Duration::from_secs(10)).await;
+    let acknowledged_at = acknowledged_at.expect("leaving is acknowledged");
+    system.departures.push(ServerDeparture { server: 0, acknowledged_at });
     sleep(DRAIN_BOUND + Duration::from_secs(1)).await;
     is_finished.store(true, Ordering::SeqCst);
     for task in traffic {
@@ -397,7 +399,7 @@
     system.verify();
     let calls = system.calls.lock().expect("not poisoned");
     let is_served =
-        |call: &&CallRecord| matches!(call.end, CallOutcome::Answered { status: 200, .. });
+        |call: &&CallRecord| matches!(call.outcome, CallOutcome::Answered { status: 200, .. });
     let served = calls.values().filter(is_served).count();
     println!("seed {seed}: {served} of {} calls served", calls.len());
     assert!(served * 2 > calls.len(), "seed {seed}: {served} of {} served", calls.len());
