--- a/crates/ctl/src/replicas.rs
+++ b/crates/ctl/src/replicas.rs
@@ -49,7 +49,10 @@
         return Ok(());
     };
     let is_same = replica.members.len() == members.len()
-        && replica.members.iter().all(|known| members.iter().any(|m| m.id == known.member.id));
+        && replica
+            .members
+            .iter()
+            .all(|known| members.iter().any(|member| member.id == known.member.id));
     if is_same {
         return Ok(());
     }
--- a/crates/daemon/src/site.rs
+++ b/crates/daemon/src/site.rs
@@ -28,8 +28,8 @@
 
 /// Port of the metrics page; `deploy/system.toml` contains the same number.
 const METRICS_PORT: u16 = 9464;
-/// How long a stopping entry still accepts connections. By then the replicas and all entries know of
-/// the stop, and most callers that read the directory before it have connected to other entries.
+/// How long a stopping entry still accepts connections. In this time the stop reaches the replicas and
+/// all entries, and most callers that read the directory before it connect to other entries.
 const ACCEPT_GRACE: Duration = Duration::from_millis(2_300);
 /// Time reserved between the end of the last request and the kill that follows a planned stop.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
--- a/crates/daemon/tests/lifecycle.rs
+++ b/crates/daemon/tests/lifecycle.rs
@@ -53,13 +53,14 @@
     let scenario = async {
         assert!(matches!(system.drain("east", 0).await, ChangeAnswer::Accepted { .. }));
         sleep_ms(DRAIN_BOUND_MS).await;
-        let (before, other) = (east.stats().received, west.stats().received);
+        let (east_before, west_before) = (east.stats().received, west.stats().received);
         sleep_ms(1_500).await;
-        assert_eq!(east.stats().received, before, "new work after the bound");
-        assert!(west.stats().received > other, "the other domain serves");
+        assert_eq!(east.stats().received, east_before, "new work after the bound");
+        assert!(west.stats().received > west_before, "the other domain serves");
         let undrain = types::ChangeAction::Undrain("east".parse().expect("valid"));
         assert!(matches!(system.submit_action(1, undrain).await, ChangeAnswer::Accepted { .. }));
-        wait_until("the domain serves again", || async { east.stats().received > before }).await;
+        wait_until("the domain serves again", || async { east.stats().received > east_before })
+            .await;
         stop.store(true, Ordering::SeqCst);
     };
     let (bad, ()) = tokio::join!(send_lookups(&system, &stop), scenario);
@@ -140,8 +141,8 @@
         server.set_state(ServerState::Ready).await;
     }
     sleep_ms(DRAIN_BOUND_MS).await;
-    let before: u64 = servers.iter().map(|server| server.stats().cold_overloads).sum();
-    assert_eq!(before, 0);
+    let overloads: u64 = servers.iter().map(|server| server.stats().cold_overloads).sum();
+    assert_eq!(overloads, 0);
     send_batches_until(&system, || is_warm(&servers)).await;
     for server in &servers {
         assert_eq!(server.stats().cold_overloads, 0, "{}", server.name());
--- a/crates/operator/src/pages.rs
+++ b/crates/operator/src/pages.rs
@@ -47,20 +47,20 @@
     pub service: ServiceName,
     /// Failure domain.
     pub domain: DomainName,
-    /// The load that the server may receive.
+    /// Stage, which limits the load that the server may receive.
     pub stage: ServerStage,
     /// Shard owner of the server; the only entry that sends it requests while it is cold.
     pub owner: EntryName,
 }
 
-/// The configuration in force.
+/// The configuration in a view: documents, drains and registered entries.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ViewPage {
     /// Version of the view.
     pub version: ViewVersion,
     /// All documents.
     pub documents: Vec<VersionedDocument>,
-    /// All drains, including those of domains that are back in service.
+    /// Drain states of domains, including domains that are back in service.
     pub drains: Vec<VersionedDrain>,
     /// All registered entries.
     pub entries: Vec<EntryInfo>,
