--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -261,11 +261,11 @@
         let finished = is_finished.clone();
         tasks.push(tokio::spawn(async move {
             while !finished.load(Ordering::SeqCst) {
-                let expected_version = acknowledged_version.load(Ordering::SeqCst);
+                let min_version = acknowledged_version.load(Ordering::SeqCst);
                 sleep(READ_BOUND).await;
                 for replica in 0..REPLICAS {
                     if let Some(version) = operator.read_version(replica).await {
-                        assert_eq!(stale_read(version, expected_version), None);
+                        assert_eq!(stale_read(version, min_version), None);
                     }
                 }
             }
